--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -14,11 +14,11 @@
     for (auto &predecessor : predecessors) {
         dependents_[predecessor].insert(job);
         auto end = ends_.find(predecessor);
-        if (end != ends_.end() && end->second.stage == job_stage::done) {
+        if (end != ends_.end() && end->second.state == job_state::done) {
             --added.not_done;
             added.ready_at = std::max(added.ready_at, end->second.at);
         }
-        cancelled = cancelled || (end != ends_.end() && end->second.stage == job_stage::cancelled);
+        cancelled = cancelled || (end != ends_.end() && end->second.state == job_state::cancelled);
         cancelled = cancelled || of(predecessor) == standing::cancelled;
     }
     if (cancelled) {
@@ -69,7 +69,7 @@
     auto d = dependents_.find(predecessor);
     if (d == dependents_.end() || !ends_.try_emplace(predecessor, end).second)
         return out;
-    if (end.stage == job_stage::cancelled) {
+    if (end.state == job_state::cancelled) {
         cancel_from({d->second.begin(), d->second.end()}, out);
         return out;
     }
--- a/src/catalog/dependency_graph.hpp
+++ b/src/catalog/dependency_graph.hpp
@@ -17,7 +17,7 @@
 
 // How a predecessor ended. An active job whose record says that it is cancelled counts as ended.
 struct predecessor_end {
-    job_stage stage = job_stage::done; // done or cancelled
+    job_state state = job_state::done; // done or cancelled
     double at = 0;                     // s, on the clock of whoever notes it; 0: unknown
 };
 
--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -18,10 +18,10 @@
 enum class attempt_phase {
     committing, // its placement is being written; nothing was sent
     committed,  // placement durable; start may be sent
-    sent,       // start was sent, or an earlier leader may have sent it: presumed there
+    sent,       // start was sent, or an earlier leader may have sent it: possibly running
     fetching,
     running,
-    saving,
+    checkpointing,
     exited,
 };
 
@@ -31,36 +31,37 @@
     std::string machine;
     attempt_phase phase = attempt_phase::committing;
     exit_cause cause = exit_cause::none;
-    double estimate_s = 0;                        // run time expected on this machine
-    double created_at = 0;                        // s
-    double running_since = -1;                    // s, when first reported running
-    double running_seen = -1;                     // s, when last reported running
-    double fetch_since = -1;                      // s
-    std::uint64_t sent_session = 0, sent_seq = 0; // report whose answer carried the start
-    bool inherited = false;                       // from an earlier leader's placement record
+    double estimate_s = 0;     // run time expected on this machine
+    double created_at = 0;     // s
+    double running_since = -1; // s, when first reported running
+    double running_seen = -1;  // s, when last reported running
+    double fetch_since = -1;   // s
+    std::uint64_t sent_incarnation = 0,
+                  sent_sequence = 0; // heartbeat whose answer carried the start
+    bool inherited = false;          // from an earlier leader's placement record
     bool stop_wanted = false;
     double grace_s = 0;
     double stop_since = -1;
     bool settled = false; // exited and its consequence is durable: may be forgotten
     // Presumed on the machine: everything from the first send until proven gone.
-    bool present() const {
+    bool possibly_running() const {
         return phase != attempt_phase::committing && phase != attempt_phase::committed &&
                phase != attempt_phase::exited;
     }
-    bool holds_room() const { return phase != attempt_phase::exited; }
+    bool holds_resources() const { return phase != attempt_phase::exited; }
 };
 
 struct job {
     job_spec spec;
-    std::uint64_t version = 0; // of its record in the state service
+    std::uint64_t version = 0; // of its record in the key-value store
     double accepted_at = 0;    // s, steady clock of this node
     // With predecessors: whether all of them are durably done, and since when. A job without is
     // ready from its acceptance on.
     bool ready = true;
     double ready_at = 0; // s, steady clock of this node
-    // As submitted. The rank in `spec` is the highest of its own and of any unfinished job that
+    // As submitted. The priority in `spec` is the highest of its own and of any unfinished job that
     // needs it; the due times (s, steady clock) are passed backwards from those.
-    priority own_rank = priority::normal;
+    priority_class own_priority = priority_class::normal;
     std::optional<double> inherited_first_due, inherited_last_due;
     bool cancelled = false;
     double cancelled_at = 0;
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -1,6 +1,6 @@
 #include "catalog/job_cache.hpp"
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 
 namespace spindlecroft::catalog {
 
@@ -8,7 +8,7 @@
 using net::awaitable;
 using net::now_s;
 
-job_cache::job_cache(net::asio::io_context &io, store::state_client &state)
+job_cache::job_cache(net::asio::io_context &io, store::key_value_client &state)
     : io_(io), state_(state), wake_(io), served_(io) {}
 
 void job_cache::stop() {
@@ -36,7 +36,7 @@
     else
         graph_.add(id, kept.record.spec.predecessors);
     if (kept.record.cancelled)
-        graph_.note_end(id, {job_stage::cancelled, kept.record.cancelled_at});
+        graph_.note_end(id, {job_state::cancelled, kept.record.cancelled_at});
 }
 
 void job_cache::drop_active(const std::string &id) {
@@ -53,9 +53,9 @@
             continue;
         auto a = active_.find(predecessor);
         if (a != active_.end() && a->second.record.cancelled)
-            graph_.note_end(predecessor, {job_stage::cancelled, a->second.record.cancelled_at});
+            graph_.note_end(predecessor, {job_state::cancelled, a->second.record.cancelled_at});
         else if (auto e = ended(predecessor))
-            graph_.note_end(predecessor, {e->stage, e->at});
+            graph_.note_end(predecessor, {e->state, e->at});
     }
 }
 
@@ -64,7 +64,7 @@
 }
 
 void job_cache::remember(const std::string &id, const wire::ended_record &r) {
-    graph_.note_end(id, {r.stage, r.at});
+    graph_.note_end(id, {r.state, r.at});
     if (ended_.emplace(id, r).second) {
         ended_order_.push_back(id);
         if (ended_order_.size() > c::ended_in_memory) {
@@ -75,8 +75,8 @@
 }
 
 // Guards against users who ask again and again about jobs that nobody submitted: each question
-// would cost a request at the state service. The watch tells of every job that is submitted later.
-// A read older than the cache says nothing about what the cache has seen since.
+// would cost a request at the key-value store. The watch tells of every job that is submitted
+// later. A read older than the cache says nothing about what the cache has seen since.
 void job_cache::remember_absent(const std::string &id, std::uint64_t revision) {
     if (revision < revision_ || active_.count(id) || !absent_.insert(id).second)
         return;
@@ -91,7 +91,7 @@
     if (ended_reads_ >= c::ended_reads)
         co_return std::nullopt;
     ++ended_reads_;
-    auto i = co_await state_.get(control::ended_key(id), store::urgency::done);
+    auto i = co_await state_.get(control::ended_key(id), store::request_priority::done);
     --ended_reads_;
     if (!i)
         co_return std::nullopt;
@@ -103,14 +103,14 @@
         auto r = wire::parse_ended(i->kv.value);
         remember(id, r);
         co_return std::optional<std::optional<wire::ended_record>>(std::in_place, r);
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::error("{}: can't be read: {}", i->kv.key, e.what());
         co_return std::nullopt;
     }
 }
 
 awaitable<bool> job_cache::load() {
-    auto a = co_await state_.list(control::active_prefix, store::urgency::accept);
+    auto a = co_await state_.list(control::active_prefix, store::request_priority::accept);
     if (!a)
         co_return false;
     std::map<std::string, cached_job> fresh;
@@ -118,7 +118,7 @@
     for (auto &i : a->items) {
         try {
             fresh[i.key.substr(prefix.size())] = {wire::parse_job_record(i.value), i.version};
-        } catch (const wire::bad_message &e) {
+        } catch (const wire::malformed_message &e) {
             spdlog::error("{}: {}", i.key, e.what());
         }
     }
@@ -163,7 +163,7 @@
             } else if (i.key.starts_with(ended) && !i.value.empty()) {
                 remember(i.key.substr(ended.size()), wire::parse_ended(i.value));
             }
-        } catch (const wire::bad_message &e) {
+        } catch (const wire::malformed_message &e) {
             spdlog::error("{}: {}", i.key, e.what());
         }
     }
@@ -181,7 +181,7 @@
         bool gone = false;
         auto since = revision_;
         auto w = co_await state_.watch(control::jobs_prefix, since, c::watch_hold_ms,
-                                       store::urgency::placement, gone);
+                                       store::request_priority::placement, gone);
         if (gone)
             reload_ = true;
         else if (w)
@@ -227,8 +227,8 @@
         auto serving = reads_wanted_;
         double sent = now_s();
         bool gone = false;
-        auto w =
-            co_await state_.watch(control::jobs_prefix, revision_, 0, store::urgency::accept, gone);
+        auto w = co_await state_.watch(control::jobs_prefix, revision_, 0,
+                                       store::request_priority::accept, gone);
         if (gone)
             reload_ = true;
         if (w) {
--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "net/async.hpp"
-#include "store/state_client.hpp"
+#include "store/key_value_client.hpp"
 #include <deque>
 #include <functional>
 #include <map>
@@ -19,7 +19,7 @@
 
 class job_cache {
   public:
-    job_cache(net::asio::io_context &io, store::state_client &state);
+    job_cache(net::asio::io_context &io, store::key_value_client &state);
     net::awaitable<void> run_watch();
     net::awaitable<void> run_reads();
     // Reads how predecessors ended that this process never heard of, one after another.
@@ -29,7 +29,7 @@
     void prompt(bool yes) { prompt_ = yes; }
 
     // Returns true once the cache is at least as new as the moment of the call; false if the
-    // state service could not be read within the time.
+    // key-value store could not be read within the time.
     net::awaitable<bool> catch_up(double limit_s);
     // Asks for a shared read without waiting for it.
     void want_read();
@@ -65,7 +65,7 @@
     void remember(const std::string &id, const wire::ended_record &r);
     void remember_absent(const std::string &id, std::uint64_t revision);
     net::asio::io_context &io_;
-    store::state_client &state_;
+    store::key_value_client &state_;
     std::map<std::string, cached_job> active_;
     dependency_graph graph_;
     std::unordered_map<std::string, wire::ended_record> ended_;
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -12,9 +12,9 @@
 inline constexpr std::size_t answer_limit =
     std::size_t{8} * 1024 * 1024; // bytes; a watch answer is unlimited, ours to bound
 inline constexpr std::uint64_t threads_limit = 100'000; // tasks in one job
-inline constexpr int page_items = 1000;                 // items; the state service's largest page
-inline constexpr int host_page = 500;                   // machines; the cloud's largest page
-inline constexpr int hosts_per_request = 50;            // machines in one rental request
+inline constexpr int page_items = 1000;                 // items; the key-value store's largest page
+inline constexpr int listed_machine_page = 500;         // machines; the cloud's largest page
+inline constexpr int machines_per_request = 50;         // machines in one rental request
 inline constexpr int deletes_per_request = 100;         // names in one deletion
 inline constexpr std::size_t value_margin = 16;         // bytes; kept free in each value
 inline constexpr std::size_t txn_bytes =
@@ -26,8 +26,8 @@
     0.25; // s; covers timer steps and the 100 ms late end of a lease
 
 // --- server and clients ---
-inline constexpr double isolated_s =
-    4.0; // s; a node without state service and without word from other nodes sends users elsewhere
+inline constexpr double isolated_s = 4.0; // s; a node without key-value store and without word from
+                                          // other nodes sends users elsewhere
 inline constexpr double progress_gap_s = 2.0; // s; counts of tasks are for display
 inline constexpr double user_request_s = 4.0; // s; users give up after 5 s, answer before that
 inline constexpr double idle_connection_s =
@@ -36,7 +36,7 @@
 inline constexpr double state_timeout_s =
     1.5; // s; answers usually take 10 ms, now and then hundreds
 inline constexpr double cloud_timeout_s = 6.0; // s; renting takes longer than reading
-inline constexpr double peer_timeout_s = 0.6;  // s; a promise is worth little when it comes later
+inline constexpr double peer_timeout_s = 0.6;  // s; a vote is worth little when it comes later
 inline constexpr double worker_timeout_s =
     2.5;                                    // s; a command that takes longer counts as unresolved
 inline constexpr std::size_t pool_idle = 4; // connections kept open to one host
@@ -46,41 +46,41 @@
 inline constexpr double back_sockets = 0.04;          // share of sockets for the other controllers
 inline constexpr std::size_t back_sockets_least = 16; // sockets; a few for each other controller
 inline constexpr std::size_t other_sockets =
-    40; // sockets to the state service, the cloud and other controllers, and the listeners
+    40; // sockets to the key-value store, the cloud and other controllers, and the listeners
 inline constexpr double crowded_share =
     0.85; // of the listener's sockets; beyond it users are sent away and workers' are not kept
 
 // --- leadership ---
 inline constexpr double leader_lease_s =
-    3.0; // s; long enough for three renewals, short for takeover
-inline constexpr double leader_renew_s = 0.75;     // s; between renewals and promise rounds
-inline constexpr double promise_s = 3.0;           // s; length of a promise to a leader
-inline constexpr double candidacy_s = 2.0;         // s; length of a promise to a candidate
+    3.0; // s; long enough for three renewals, short for failover
+inline constexpr double leader_renew_s = 0.75;     // s; between renewals and vote rounds
+inline constexpr double vote_length_s = 3.0;       // s; length of a vote to a leader
+inline constexpr double candidacy_s = 2.0;         // s; length of a vote to a candidate
 inline constexpr double candidacy_jitter_s = 0.35; // s; spreads candidates that saw the same end
-inline constexpr double resign_blind_s =
-    4.0; // s; a leader this long without state gives way to one with it
-inline constexpr double served_s =
-    2.5; // s; a node whose last answer from the state service is older can't say that it is served
+inline constexpr double step_down_store_silence_s =
+    4.0; // s; a leader this long without state steps down to one with it
+inline constexpr double served_s = 2.5; // s; a node whose last answer from the key-value store is
+                                        // older can't say that it is served
 inline constexpr double fresh_word_s =
-    0.25; // s; a leader gives way only on word of the state service that is no older
+    0.25; // s; a leader steps down only on word of the key-value store that is no older
 inline constexpr std::size_t cancels_kept =
     4000; // cancels at hand for the leader; some minutes of them, about 0.5 MB
 inline constexpr std::size_t cancels_per_answer = 400; // cancels; 50 KiB with the longest ids
-inline constexpr double resign_deaf_s =
-    8.0; // s; a leader this long without reports gives way to one with them
-inline constexpr double resign_pause_s = 20.0; // s; it does not stand again for this long
+inline constexpr double step_down_unheard_s =
+    8.0; // s; a leader this long without heartbeats steps down to one with them
+inline constexpr double step_down_pause_s = 20.0; // s; it does not stand again for this long
 
 inline constexpr double authority_margin_s =
-    0.1; // s; taken off every promise and lease that we rely on
+    0.1; // s; taken off every vote and lease that we rely on
 
 inline constexpr double blind_margin_s =
-    3.0; // s; kept back of cancel_s for answers and orders on their way
+    3.0; // s; kept back of cancel_s for answers and commands on their way
 inline constexpr double blind_least_s =
     4.0; // s; a leader may be without news of cancels this long at least
 inline constexpr double leader_fresh_s =
     2.0; // s; a leader reads the jobs' records at least this often
 
-// --- state service ---
+// --- key-value store ---
 inline constexpr double state_share =
     0.9; // share of the limits that all nodes together plan to use
 inline constexpr double leader_write_share = 0.85; // share of the writes that the leader may use
@@ -95,7 +95,7 @@
 inline constexpr double state_retry_s = 0.25;    // s; pause after a refusal
 inline constexpr double refusal_window_s = 10.0; // s; refusals of changes are counted within it
 inline constexpr int refusals_for_next_limit =
-    3; // refusals in the window; they show that the state service has its smaller limit
+    3; // refusals in the window; they show that the key-value store has its smaller limit
 inline constexpr std::size_t commit_queue = 4000; // waiting changes; beyond it users get 503
 inline constexpr std::uint64_t part_done =
     4096; // tasks of a job in one part of a done record (1 KiB as hex digits)
@@ -116,15 +116,17 @@
 
 // --- workers ---
 inline constexpr double worker_patience_s = 4.0; // s; a worker drops an answer that comes later
-inline constexpr int deaf_reports = 2; // reports in a row that show nothing of our answers
-inline constexpr double deaf_share =
-    0.7; // of the lease; a session that ends so soon after our answer did not get it
-inline constexpr double deaf_leases =
-    1.6; // leases; a machine deaf for longer is given back: by then it has shown whether it hears
-inline constexpr double silent_reports =
+inline constexpr int outbound_partition_heartbeats =
+    2; // heartbeats in a row that show nothing of our answers
+inline constexpr double outbound_partition_lease_share =
+    0.7; // of the lease; a incarnation that ends so soon after our answer did not get it
+inline constexpr double outbound_partition_leases =
+    1.6; // leases; a machine outbound-partitioned for longer is given back: by then it has shown
+         // whether it hears
+inline constexpr double silent_heartbeats =
     3.0; // report intervals without a word before a machine is silent
 inline constexpr double silent_margin_s =
-    2.0; // s; added to it, a report may be retried at another node
+    2.0; // s; added to it, a heartbeat may be retried at another node
 inline constexpr double quiet_share =
     0.5; // of the time after which a machine is silent; longer than the longest report interval
 inline constexpr double silent_share =
@@ -134,7 +136,7 @@
 inline constexpr double cut_patience_s =
     30.0; // s; beyond their leases, silent machines of a cut zone are kept
 inline constexpr double cut_return_s =
-    10.0; // s; after a cut, the time for its machines to report again
+    10.0; // s; after a cut, the time for its machines to heartbeat again
 inline constexpr double token_bump_s = 6.0; // s; least time between two raises of the token
 
 // --- bidding ---
@@ -148,9 +150,9 @@
 inline constexpr double queue_limit_s = 20.0; // s; a worker queue holds this much estimated work
 inline constexpr std::size_t queue_tasks =
     6; // tasks; so many wait at most in a worker queue, however short they are
-inline constexpr int bids_per_round =
-    2000; // bids; a round stops there and goes on in the next, so that reports are answered between
-inline constexpr double pump_rest =
+inline constexpr int bids_per_round = 2000; // bids; a round stops there and goes on in the next, so
+                                            // that heartbeats are answered between
+inline constexpr double control_loop_rest =
     1.0; // ratio; after a round the leader answers for as long as the round took
 inline constexpr double idle_rebid_s = 1.0; // s; a machine idle for this long has tasks bid again
 inline constexpr double speed_gain = 0.15;  // weight of the newest measurement of a machine's speed
@@ -172,7 +174,7 @@
     2.0; // s; between two records of the suspect jobs, of which nobody waits for one
 inline constexpr double job_backoff_s = 5.0; // s; first pause of a job whose tasks fail; doubles
 inline constexpr double job_backoff_max_s = 60.0; // s; longest such pause
-inline constexpr double spoilt_slot_s =
+inline constexpr double displaced_slot_cost_s =
     0.4; // s; added to a replica's bid for each array task it displaces
 inline constexpr double guarantee_wait_s =
     6.0; // s; guaranteed work that would wait longer stops others
@@ -189,19 +191,20 @@
 
 inline constexpr double cancel_delete_share =
     0.35; // of cancel_s; a machine not proven clean by then is deleted
-inline constexpr double notice_patience = 1.5; // ratio; notices may last this much longer than told
+inline constexpr double reclaim_notice_tolerance =
+    1.5; // ratio; notices may last this much longer than told
 
 // --- dependencies ---
 inline constexpr double chain_stage_s =
-    3.0; // s; from the last task of a job to the first of the next: report, records, commands
+    3.0; // s; from the last task of a job to the first of the next: heartbeat, records, commands
 inline constexpr double chain_run_margin =
     1.3; // ratio; the longest of a job's tasks to the usual one
 inline constexpr double predecessor_read_gap_s =
     0.1; // s; between two reads for predecessors that ended before this process knew of them
 
 // --- fleet ---
-inline constexpr double types_refresh_s = 45.0; // s; prices move slowly
-inline constexpr double hosts_poll_s = 5.0;     // s; between two lists of the machines
+inline constexpr double types_refresh_s = 45.0;    // s; prices move slowly
+inline constexpr double machine_list_poll_s = 5.0; // s; between two lists of the machines
 inline constexpr double refused_capacity_s =
     25.0;                                // s; an offer that was refused is not asked for again
 inline constexpr double boot_late = 3.0; // times startupS; a machine later than this is deleted
--- a/src/control/bidder.hpp
+++ b/src/control/bidder.hpp
@@ -18,8 +18,8 @@
     bool spot = false;
     std::size_t place = 0;      // number of its type, zone and kind
     bidding::room free;         // not held by any present or queued task
-    bidding::room critical;     // the same, work of lower rank than critical left out
-    bidding::room above_idle;   // the same, work of the lowest rank left out
+    bidding::room critical;     // the same, work of lower priority than critical left out
+    bidding::room above_idle;   // the same, work of the lowest priority left out
     bidding::room whole;        // what services leave to work that comes and goes
     double work_s = 0;          // remaining and queued run time of that work
     double boot_s = 0;          // until it is up
--- a/src/control/cloud_duties.cpp
+++ b/src/control/cloud_duties.cpp
@@ -10,13 +10,13 @@
 
 awaitable<net::reply> controller::cloud_call(std::shared_ptr<leadership> l, std::string method,
                                              std::string target, std::string body) {
-    while (!cloud_budget_.take(1, store::urgency::leadership, now_s()))
+    while (!cloud_budget_.take(1, store::request_priority::leadership, now_s()))
         co_await net::sleep_s(0.05);
     // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
     // more: it would delete machines that the next one uses.
-    if (!in_charge(l))
+    if (!may_act(l))
         co_return net::reply{};
-    net::permission permitted = [this, l] { return in_charge(l); };
+    net::permission permitted = [this, l] { return may_act(l); };
     auto r = co_await cloud_.call(std::move(method), std::move(target), std::move(body),
                                   c::cloud_timeout_s, false, std::move(permitted));
     if (r.how == net::outcome::answered && r.status == 429)
@@ -26,66 +26,67 @@
 
 awaitable<void> controller::watch_cloud(std::shared_ptr<leadership> l) {
     double next_types = now_s() + c::types_refresh_s;
-    while (in_charge(l)) {
+    while (may_act(l)) {
         double asked = now_s();
-        std::vector<host> hosts;
+        std::vector<listed_machine> hosts;
         std::string after;
         bool whole = false;
-        while (in_charge(l)) {
-            auto r = co_await cloud_call(l, "GET", wire::hosts_target(after, c::host_page), "");
+        while (may_act(l)) {
+            auto r = co_await cloud_call(
+                l, "GET", wire::machine_list_target(after, c::listed_machine_page), "");
             if (!r.ok())
                 break;
             try {
-                auto page = wire::parse_hosts(r.body);
+                auto page = wire::parse_machine_list(r.body);
                 hosts.insert(hosts.end(), page.hosts.begin(), page.hosts.end());
                 if (!page.more || page.hosts.empty()) {
                     whole = true;
                     break;
                 }
                 after = page.hosts.back().id;
-            } catch (const wire::bad_message &e) {
+            } catch (const wire::malformed_message &e) {
                 spdlog::warn("machine list: {}", e.what());
                 break;
             }
         }
-        if (whole && in_charge(l)) {
-            l->core->on_hosts(hosts, asked, now_s());
+        if (whole && may_act(l)) {
+            l->core->on_machine_list(hosts, asked, now_s());
             l->wake.notify();
         }
         if (now_s() > next_types) {
             next_types = now_s() + c::types_refresh_s;
-            auto r = co_await cloud_call(l, "GET", wire::path_types, "");
-            if (r.ok() && in_charge(l)) {
+            auto r = co_await cloud_call(l, "GET", wire::path_machine_types, "");
+            if (r.ok() && may_act(l)) {
                 try {
-                    auto t = wire::parse_types(r.body);
+                    auto t = wire::parse_machine_types(r.body);
                     if (!t.empty())
                         l->core->on_types(std::move(t));
-                } catch (const wire::bad_message &e) {
+                } catch (const wire::malformed_message &e) {
                     spdlog::warn("machine types: {}", e.what());
                 }
             }
         }
-        co_await net::sleep_s(c::hosts_poll_s);
+        co_await net::sleep_s(c::machine_list_poll_s);
     }
 }
 
-awaitable<void> controller::rent(std::shared_ptr<leadership> l, rental r) {
-    if (!in_charge(l))
+awaitable<void> controller::rent(std::shared_ptr<leadership> l, rental_request r) {
+    if (!may_act(l))
         co_return;
-    auto a = co_await cloud_call(l, "POST", wire::path_hosts, wire::encode_rental(r));
-    if (!in_charge(l))
+    auto a = co_await cloud_call(l, "POST", wire::path_machines, wire::encode_rental_request(r));
+    if (!may_act(l))
         co_return;
     try {
         bool refused =
             a.how == net::outcome::answered &&
             (a.status == 400 || (a.status == 503 && a.body.find("capacity") != std::string::npos));
         if (a.ok())
-            l->core->on_rented(r.request, wire::parse_rented(a.body), now_s());
+            l->core->on_rented(r.request, wire::parse_rented_machines(a.body), now_s());
         else if (refused)
             l->core->on_rent_refused(r.request, now_s());
         else
             l->core->on_rent_unsure(r.request, now_s());
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("renting: {}", e.what());
         l->core->on_rent_unsure(r.request, now_s());
     }
@@ -93,7 +94,8 @@
 }
 
 awaitable<void> controller::remove(std::shared_ptr<leadership> l, std::vector<std::string> names) {
-    auto a = co_await cloud_call(l, "POST", wire::path_hosts_delete, wire::encode_delete(names));
+    auto a =
+        co_await cloud_call(l, "POST", wire::path_delete_machines, wire::encode_deletion(names));
     if (l->over || !l->core)
         co_return;
     if (a.ok()) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -39,7 +39,7 @@
     member_.want_read = [this] { cache_.want_read(); };
     member_.on_cancels = [this](const std::vector<cancel_notice> &news) {
         for (auto &n : news)
-            obey_cancel(n);
+            apply_cancel(n);
     };
     cache_.on_active = [this](const std::string &id, const catalog::cached_job &j) {
         if (j.record.cancelled)
@@ -83,12 +83,12 @@
 awaitable<response> controller::on_api(net::request r) {
     auto target = r.target.substr(0, r.target.find('?'));
     const std::string jobs = wire::path_jobs;
-    if (target == wire::path_report) {
+    if (target == wire::path_heartbeat) {
         if (r.method != "POST")
             co_return error(405, "use POST");
         auto answer = co_await on_checkin(std::move(r.body));
         // Guards against workers that find no socket: beyond the bound each comes anew for its
-        // report.
+        // heartbeat.
         answer.close = answer.close || api_.crowded();
         co_return answer;
     }
@@ -129,7 +129,7 @@
 response controller::ready() const {
     if (!cache_.loaded() || !types_)
         return unsure("starting");
-    // Cut from the state service while others are not: they serve better.
+    // Cut from the key-value store while others are not: they serve better.
     // A node that hears neither it nor any other controller can't tell, and is no better.
     if (membership::better_served_elsewhere(state_.silence(now_s()),
                                             member_.state_served_elsewhere(),
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -1,7 +1,8 @@
-// The controller node: wires servers, clients, membership, the jobs' cache and the engine together.
+// The controller node: wires servers, clients, membership, the jobs' cache and the scheduler
+// together.
 #pragma once
 #include "catalog/job_cache.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include "membership/member.hpp"
 #include "net/http.hpp"
 #include "store/committer.hpp"
@@ -47,24 +48,24 @@
     // leading
     void elected();
     void deposed();
-    net::awaitable<void> take_over(std::shared_ptr<leadership> l);
-    net::awaitable<void> pump(std::shared_ptr<leadership> l);
+    net::awaitable<void> fail_over(std::shared_ptr<leadership> l);
+    net::awaitable<void> run_control_loop(std::shared_ptr<leadership> l);
     net::awaitable<void> watch_cloud(std::shared_ptr<leadership> l);
-    net::awaitable<void> rent(std::shared_ptr<leadership> l, rental r);
+    net::awaitable<void> rent(std::shared_ptr<leadership> l, rental_request r);
     net::awaitable<void> remove(std::shared_ptr<leadership> l, std::vector<std::string> names);
-    net::awaitable<void> command(std::shared_ptr<leadership> l, std::string machine);
+    net::awaitable<void> send_commands(std::shared_ptr<leadership> l, std::string machine);
     net::awaitable<net::reply> cloud_call(std::shared_ptr<leadership> l, std::string method,
                                           std::string target, std::string body);
     bool may_renew(double now) const;
-    // What the records say of predecessors that the engine knows nothing of.
-    void tell_predecessor_ends(engine &core, double now) const;
-    void obey_cancel(const cancel_notice &n);
-    bool in_charge(const std::shared_ptr<leadership> &l) const;
+    // What the records say of predecessors that the scheduler knows nothing of.
+    void tell_predecessor_ends(scheduler &core, double now) const;
+    void apply_cancel(const cancel_notice &n);
+    bool may_act(const std::shared_ptr<leadership> &l) const;
 
     net::asio::io_context &io_;
     settings::settings settings_;
     settings::socket_plan sockets_;
-    store::state_client state_;
+    store::key_value_client state_;
     membership::member member_;
     catalog::job_cache cache_;
     store::committer user_commits_;
@@ -72,7 +73,7 @@
     store::budget cloud_budget_;
     std::optional<std::vector<machine_type>> types_;
     std::shared_ptr<leadership> lead_;
-    std::map<std::string, engine::progress> progress_; // as the leader told
+    std::map<std::string, scheduler::progress> progress_; // as the leader told
     bool progress_busy_ = false;
     double progress_at_ = -1e9;
     bool stopping_ = false;
--- a/src/control/leadership.hpp
+++ b/src/control/leadership.hpp
@@ -6,9 +6,10 @@
 namespace spindlecroft::control {
 
 struct controller::leadership {
-    leadership(net::asio::io_context &io, store::state_client &state, const settings::settings &s)
+    leadership(net::asio::io_context &io, store::key_value_client &state,
+               const settings::settings &s)
         : commits(io, state, s, "leader"), records(io, state, s, "records"), wake(io) {}
-    std::unique_ptr<engine> core; // once the records are read
+    std::unique_ptr<scheduler> core; // once the records are read
     // What a start or a rental waits for must not queue behind what can wait: one writes
     // placements, rentals and types, the other what has ended. No key is written by both.
     store::committer commits, records;
@@ -17,7 +18,7 @@
     std::set<std::string> commanding;
     // Cancels told by other controllers or confirmed here that the records don't show yet.
     std::map<std::string, cancel_notice> cancels;
-    std::uint64_t reports = 0, commands = 0;                     // since the last summary
+    std::uint64_t heartbeats_received = 0, commands_sent = 0;    // since the last summary
     std::map<std::string, std::shared_ptr<net::client>> workers; // by address
 };
 
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -1,4 +1,4 @@
-// Taking over from the records, and driving the engine while this controller leads.
+// Taking over from the records, and driving the scheduler while this controller leads.
 #include "constants.hpp"
 #include "control/answers.hpp"
 #include "control/leadership.hpp"
@@ -9,7 +9,7 @@
 using net::awaitable;
 using net::now_s;
 
-bool controller::in_charge(const std::shared_ptr<leadership> &l) const {
+bool controller::may_act(const std::shared_ptr<leadership> &l) const {
     return !l->over && l == lead_ && member_.leading();
 }
 
@@ -21,12 +21,12 @@
     l->commits.fence = l->records.fence =
         [this, l = std::weak_ptr<leadership>(l)]() -> std::optional<txn_condition> {
         auto k = l.lock();
-        if (!k || !in_charge(k))
+        if (!k || !may_act(k))
             return std::nullopt;
         return txn_condition{leader_key, member_.token()};
     };
     l->commits.fence_failed = l->records.fence_failed = [this] { member_.want_check(); };
-    net::spawn(io_, take_over(l), "take over");
+    net::spawn(io_, fail_over(l), "take over");
 }
 
 void controller::deposed() {
@@ -40,30 +40,30 @@
     lead_.reset();
 }
 
-awaitable<void> controller::take_over(std::shared_ptr<leadership> l) {
-    auto keep_trying = [&] { return in_charge(l); };
+awaitable<void> controller::fail_over(std::shared_ptr<leadership> l) {
+    auto keep_trying = [&] { return may_act(l); };
     double began = now_s();
     // The machine types: from the records, or from the cloud the first time.
     std::vector<machine_type> types;
     std::uint64_t types_version = 0;
     bool types_unreadable = false;
     while (keep_trying() && types.empty()) {
-        auto i = co_await state_.get(types_key, store::urgency::leadership);
+        auto i = co_await state_.get(types_key, store::request_priority::leadership);
         if (i && i->found) {
             types_version = i->kv.version;
             try {
-                types = wire::parse_types(i->kv.value);
-            } catch (const wire::bad_message &e) {
+                types = wire::parse_machine_types(i->kv.value);
+            } catch (const wire::malformed_message &e) {
                 spdlog::error("{}: can't be read: {}", types_key, e.what());
                 types_unreadable = true;
             }
         }
         if (i && types.empty()) {
-            auto r = co_await cloud_call(l, "GET", wire::path_types, "");
+            auto r = co_await cloud_call(l, "GET", wire::path_machine_types, "");
             if (r.ok()) {
                 try {
-                    types = wire::parse_types(r.body);
-                } catch (const wire::bad_message &e) {
+                    types = wire::parse_machine_types(r.body);
+                } catch (const wire::malformed_message &e) {
                     spdlog::error("machine types: {}", e.what());
                 }
             }
@@ -74,13 +74,13 @@
     std::optional<wire::range_answer> placed, done, rentals, suspects;
     while (keep_trying() && !(placed && done && rentals && suspects)) {
         if (!suspects)
-            suspects = co_await state_.list(suspects_key, store::urgency::leadership);
+            suspects = co_await state_.list(suspects_key, store::request_priority::leadership);
         if (!placed)
-            placed = co_await state_.list(placed_prefix, store::urgency::leadership);
+            placed = co_await state_.list(placed_prefix, store::request_priority::leadership);
         if (!done)
-            done = co_await state_.list(done_prefix, store::urgency::leadership);
+            done = co_await state_.list(done_prefix, store::request_priority::leadership);
         if (!rentals)
-            rentals = co_await state_.list(rental_prefix, store::urgency::leadership);
+            rentals = co_await state_.list(rental_prefix, store::request_priority::leadership);
         if (!(placed && done && rentals && suspects))
             co_await net::sleep_s(c::state_retry_s);
     }
@@ -89,7 +89,7 @@
     }
     if (!keep_trying())
         co_return;
-    auto core = std::make_unique<engine>(settings_, types);
+    auto core = std::make_unique<scheduler>(settings_, types);
     double now = now_s();
     core->begin(now, member_.token(), wall_s() - now);
     for (auto &[id, j] : cache_.all())
@@ -102,7 +102,7 @@
             writer.set_version(i.key, i.version);
             try {
                 load(i.key.substr(std::string(prefix).size()), i.value);
-            } catch (const wire::bad_message &e) {
+            } catch (const wire::malformed_message &e) {
                 spdlog::error("{}: can't be read: {}", i.key, e.what());
                 unreadable();
             }
@@ -141,8 +141,8 @@
     if (types_version == 0 || types_unreadable) {
         store::unit u;
         u.owned = true;
-        u.ops = {{types_key, wire::encode_types(types), 0}};
-        u.rank = store::urgency::accept;
+        u.ops = {{types_key, wire::encode_machine_types(types), 0}};
+        u.priority = store::request_priority::accept;
         l->commits.submit(std::move(u));
     }
     if (!types_)
@@ -157,36 +157,36 @@
         io_, [](std::shared_ptr<leadership> l) -> awaitable<void> { co_await l->records.run(); }(l),
         "records");
     net::spawn(io_, watch_cloud(l), "cloud");
-    co_await pump(l);
+    co_await run_control_loop(l);
 }
 
-static store::urgency rank_of(write_kind k) {
+static store::request_priority priority_of(write_kind k) {
     switch (k) {
     case write_kind::placed:
-        return store::urgency::placement;
+        return store::request_priority::placement;
     case write_kind::job_end:
-        return store::urgency::accept; // users wait for it
+        return store::request_priority::accept; // users wait for it
     case write_kind::done:
-        return store::urgency::rest;
-    case write_kind::rental:
-        return store::urgency::placement;
+        return store::request_priority::rest;
+    case write_kind::rental_request:
+        return store::request_priority::placement;
     case write_kind::cleanup:
     case write_kind::suspects:
-        return store::urgency::rest;
+        return store::request_priority::rest;
     }
-    return store::urgency::rest;
+    return store::request_priority::rest;
 }
 
-void controller::tell_predecessor_ends(engine &core, double now) const {
+void controller::tell_predecessor_ends(scheduler &core, double now) const {
     for (auto &id : core.unresolved_predecessors())
         if (auto *end = cache_.dependencies().end_of(id))
             core.on_predecessor_end(id, *end, now);
 }
 
-// Drives the engine: time in, decisions out.
-awaitable<void> controller::pump(std::shared_ptr<leadership> l) {
+// Drives the scheduler: time in, decisions out.
+awaitable<void> controller::run_control_loop(std::shared_ptr<leadership> l) {
     double next_summary = now_s() + c::summary_gap_s, next_look = 0;
-    while (in_charge(l)) {
+    while (may_act(l)) {
         auto &core = *l->core;
         double now = now_s();
         tell_predecessor_ends(core, now);
@@ -199,7 +199,7 @@
             u.owned = true;
             u.when = w.when;
             u.ops = w.ops;
-            u.rank = rank_of(w.kind);
+            u.priority = priority_of(w.kind);
             u.result = [l, w](store::unit_outcome how, std::uint64_t revision) {
                 if (how == store::unit_outcome::lost || l->over || !l->core)
                     return;
@@ -227,7 +227,7 @@
             if (l->commanding.count(m) || l->commanding.size() >= sockets_.commands)
                 core.keep_urgent(m);
             else
-                net::spawn(io_, command(l, m), "command");
+                net::spawn(io_, send_commands(l, m), "command");
         }
         if (now - cache_.fresh_at() > c::leader_fresh_s)
             cache_.want_read();
@@ -238,16 +238,17 @@
                 return w.second.use_count() == 1 && now - w.second->used_at() > c::summary_gap_s;
             });
             spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands", core.summary(),
-                         l->commits.waiting(), l->records.waiting(), l->reports, l->commands);
-            l->reports = l->commands = 0;
+                         l->commits.waiting(), l->records.waiting(), l->heartbeats_received,
+                         l->commands_sent);
+            l->heartbeats_received = l->commands_sent = 0;
         }
-        // Guards against rounds that follow one another while reports wait for their answers.
-        co_await net::sleep_s(std::max(0.02, c::pump_rest * (now_s() - now)));
+        // Guards against rounds that follow one another while heartbeats wait for their answers.
+        co_await net::sleep_s(std::max(0.02, c::control_loop_rest * (now_s() - now)));
         co_await l->wake.wait_for(0.2);
     }
     // Entitlement lapsed without a word: leave nothing running on old knowledge.
     if (lead_ == l && !member_.leading())
-        member_.resign("not entitled any more");
+        member_.step_down("not entitled any more");
 }
 
 } // namespace spindlecroft::control
--- a/src/control/peer_exchange.cpp
+++ b/src/control/peer_exchange.cpp
@@ -26,7 +26,7 @@
             co_return response{200, wire::encode_peer(out), 0, true};
         }
         co_return response{200, member_.on_message(r.body), 0, true};
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         co_return error(400, e.what());
     }
 }
@@ -48,7 +48,7 @@
                                          static_cast<std::uint32_t>(v & 0xffffffff)};
                 }
             }
-        } catch (const wire::bad_message &e) {
+        } catch (const wire::malformed_message &e) {
             spdlog::warn("progress: {}", e.what());
         }
     }
@@ -58,13 +58,13 @@
 
 awaitable<void> controller::load_types() {
     while (!stopping_ && !types_) {
-        auto i = co_await state_.get(types_key, store::urgency::accept);
+        auto i = co_await state_.get(types_key, store::request_priority::accept);
         if (i && i->found) {
             try {
-                auto t = wire::parse_types(i->kv.value);
+                auto t = wire::parse_machine_types(i->kv.value);
                 if (!types_)
                     types_ = std::move(t);
-            } catch (const wire::bad_message &e) {
+            } catch (const wire::malformed_message &e) {
                 spdlog::error("machine types: {}", e.what());
             }
         }
--- a/src/control/engine.cpp
+++ b/src/control/scheduler.cpp
@@ -1,5 +1,5 @@
-// Taking over, reports and the commands that answer them.
-#include "control/engine.hpp"
+// Taking over, heartbeats and the commands that answer them.
+#include "control/scheduler.hpp"
 #include "constants.hpp"
 #include <algorithm>
 #include <fmt/format.h>
@@ -26,27 +26,27 @@
     return rental_prefix + round;
 }
 
-engine::engine(const settings::settings &s, std::vector<machine_type> types)
+scheduler::scheduler(const settings::settings &s, std::vector<machine_type> types)
     : settings_(s), types_(std::move(types)), teams_(s.teams) {}
 
 // --- look-ups ---
 
-engine::job_t *engine::job_of(const std::string &id) {
+scheduler::job_t *scheduler::job_of(const std::string &id) {
     auto i = jobs_.find(id);
     return i == jobs_.end() ? nullptr : &i->second;
 }
 
-const catalog::job *engine::find_job(const std::string &id) const {
+const catalog::job *scheduler::find_job(const std::string &id) const {
     auto i = jobs_.find(id);
     return i == jobs_.end() ? nullptr : &i->second;
 }
 
-const workers::machine *engine::find_machine(const std::string &name) const {
+const workers::machine *scheduler::find_machine(const std::string &name) const {
     auto i = machines_.find(name);
     return i == machines_.end() ? nullptr : &i->second;
 }
 
-engine::machine_t &engine::machine_of(const std::string &name, double now) {
+scheduler::machine_t &scheduler::machine_of(const std::string &name, double now) {
     auto [i, fresh] = machines_.try_emplace(name);
     if (fresh) {
         i->second.name = name;
@@ -60,7 +60,7 @@
     return i->second;
 }
 
-engine::attempt_t *engine::attempt_of(const catalog::task_ref &t, std::uint64_t number) {
+scheduler::attempt_t *scheduler::attempt_of(const catalog::task_ref &t, std::uint64_t number) {
     auto *j = job_of(t.job);
     if (!j)
         return nullptr;
@@ -68,19 +68,19 @@
     return i == j->live.end() || i->second.number != number ? nullptr : &i->second;
 }
 
-const machine_type *engine::type_of(const std::string &name) const {
+const machine_type *scheduler::type_of(const std::string &name) const {
     for (auto &t : types_)
         if (t.name == name)
             return &t;
     return nullptr;
 }
 
-void engine::set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
-                      const std::string &address) {
+void scheduler::set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
+                         const std::string &address) {
     if (!address.empty() && m.address != address)
         m.address = address;
     if (m.known_type && m.type.name == type && m.zone == zone && m.spot == spot)
-        return; // as in nearly every report
+        return; // as in nearly every heartbeat
     if (auto *t = type_of(type)) {
         m.type = *t;
         m.known_type = true;
@@ -93,21 +93,21 @@
 
 // --- taking over ---
 
-void engine::begin(double now, std::uint64_t token, double wall_offset) {
+void scheduler::begin(double now, std::uint64_t token, double wall_offset) {
     began_ = now;
     wall_offset_ = wall_offset;
     token_ = first_token_ = token;
 }
 
-void engine::load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                      double now) {
+void scheduler::load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
+                         double now) {
     job_t j;
     j.spec = r.spec;
     j.version = version;
     j.accepted_at = std::min(now, r.accepted_at - wall_offset_);
     j.done.assign(r.spec.tasks, false);
     j.done_durable.assign(r.spec.tasks, false);
-    j.own_rank = r.spec.rank;
+    j.own_priority = r.spec.priority;
     j.image = image_number(r.spec.image);
     auto &kept = jobs_[id] = std::move(j);
     if (kept.spec.shape == job_shape::service && !r.cancelled) {
@@ -121,7 +121,7 @@
         cancel_job(kept, r.cancelled_at, now);
 }
 
-void engine::load_done(const std::string &record, const std::vector<wire::done_part> &parts) {
+void scheduler::load_done(const std::string &record, const std::vector<wire::done_part> &parts) {
     auto &kept = done_records_[record];
     kept.open = false;
     for (auto &p : parts) {
@@ -143,8 +143,8 @@
     kept.too_large = kept.bytes > most_record_bytes();
 }
 
-void engine::load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
-                         double now) {
+void scheduler::load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
+                            double now) {
     auto &kept = segments_[name];
     kept.open = false;
     for (auto &t : tasks) {
@@ -156,11 +156,11 @@
         if (auto i = j->live.find(t.index); i != j->live.end()) {
             if (i->second.number >= t.attempt)
                 continue;
-            drop_attempt(*j, t.index, false);
+            release_attempt(*j, t.index, false);
         }
         kept.tasks.push_back(t);
         // Guards against a second start: the task may be there, or a start may be under way,
-        // until the machine's own report under our token says otherwise.
+        // until the machine's own heartbeat under our token says otherwise.
         attempt_t a;
         a.task = {t.job, t.index};
         a.number = t.attempt;
@@ -177,12 +177,12 @@
     }
 }
 
-void engine::load_unreadable_placements(double now) {
+void scheduler::load_unreadable_placements(double now) {
     hold_until_ = now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s;
 }
 
 // The cloud is asked once more, and tells the machines' names.
-void engine::load_rental(const std::string &round, const wire::rental_record &r, double now) {
+void scheduler::load_rental(const std::string &round, const wire::rental_record &r, double now) {
     rental_rounds_[round].written = true;
     for (auto &q : r.requests) {
         auto &s = rentals_[q.request];
@@ -193,7 +193,7 @@
     }
 }
 
-void engine::loaded(double now) {
+void scheduler::loaded(double now) {
     for (auto &[id, j] : jobs_) {
         std::uint32_t top = 0;
         for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
@@ -207,13 +207,13 @@
     ready_ = true;
     dirty_ = true;
     last_raise_ = now;
-    last_fleet_ = now; // reports come first, renting after
+    last_fleet_ = now; // heartbeats come first, renting after
 }
 
 // --- jobs ---
 
-void engine::on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                    double now) {
+void scheduler::on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
+                       double now) {
     dirty_ = true;
     auto *j = job_of(id);
     if (!j) {
@@ -227,7 +227,7 @@
         cancel_job(*j, r.cancelled_at, now);
 }
 
-void engine::on_cancel(const cancel_notice &n, double now) {
+void scheduler::on_cancel(const cancel_notice &n, double now) {
     dirty_ = true;
     auto *j = job_of(n.job);
     if (!j || n.revision < j->version)
@@ -237,7 +237,7 @@
         cancel_job(*j, n.at, now);
 }
 
-void engine::cancel_job(job_t &j, double wall_at, double now) {
+void scheduler::cancel_job(job_t &j, double wall_at, double now) {
     j.cancelled = true;
     // The user was told when the record was written, not when we hear of it.
     j.cancelled_at = now;
@@ -245,7 +245,7 @@
         j.cancelled_at =
             std::min(now, wall_at - wall_offset_ - 2 * settings_.time_bound_s); // two clocks
     while (!j.queued.empty())
-        unqueue_task(j, j.queued.begin()->first);
+        remove_from_queue(j, j.queued.begin()->first);
     std::vector<std::uint32_t> indices;
     for (auto &[i, a] : j.live)
         indices.push_back(i);
@@ -253,19 +253,19 @@
         auto &a = j.live[i];
         if (a.phase == attempt_phase::committing || a.phase == attempt_phase::committed ||
             a.phase == attempt_phase::exited)
-            drop_attempt(j, i, false);
+            release_attempt(j, i, false);
         else
             stop_attempt(a, 0, now);
     }
-    follow(graph_.note_end(j.spec.id, {job_stage::cancelled, now}), now);
+    follow(graph_.note_end(j.spec.id, {job_state::cancelled, now}), now);
 }
 
-void engine::on_token(std::uint64_t token) {
+void scheduler::on_token(std::uint64_t token) {
     if (token > token_)
         token_ = token;
 }
 
-void engine::unqueue_task(job_t &j, std::uint32_t index) {
+void scheduler::remove_from_queue(job_t &j, std::uint32_t index) {
     auto q = j.queued.find(index);
     if (q == j.queued.end())
         return;
@@ -280,7 +280,7 @@
     j.queued.erase(q);
 }
 
-void engine::unqueue(machine_t &m) {
+void scheduler::clear_queue(machine_t &m) {
     for (auto &t : m.queue)
         if (auto *j = job_of(t.task.job)) {
             j->queued.erase(t.task.index);
@@ -293,17 +293,17 @@
 
 // Guards against tasks that wait for ever on a machine that gets no more work: what was placed
 // there, but never sent, goes elsewhere (a machine is quarantined for good, world 30).
-void engine::withdraw(machine_t &m) {
-    unqueue(m);
+void scheduler::withdraw_unstarted(machine_t &m) {
+    clear_queue(m);
     auto refs = m.attempts;
     for (auto &ref : refs)
         if (auto *j = job_of(ref.job))
             if (auto i = j->live.find(ref.index);
                 i != j->live.end() && i->second.phase == attempt_phase::committed)
-                drop_attempt(*j, ref.index, true);
+                release_attempt(*j, ref.index, true);
 }
 
-void engine::drop_attempt(job_t &j, std::uint32_t index, bool again) {
+void scheduler::release_attempt(job_t &j, std::uint32_t index, bool again) {
     auto i = j.live.find(index);
     if (i == j.live.end())
         return;
@@ -320,7 +320,7 @@
     dirty_ = true;
 }
 
-void engine::stop_attempt(attempt_t &a, double grace_s, double now) {
+void scheduler::stop_attempt(attempt_t &a, double grace_s, double now) {
     if (a.stop_wanted && grace_s >= a.grace_s)
         return;
     if (!a.stop_wanted)
@@ -330,33 +330,33 @@
     urgent_.insert(a.machine);
 }
 
-// --- reports ---
+// --- heartbeats ---
 
-engine::report_age engine::on_report(const worker_report &r, double now, bool reply) {
+scheduler::heartbeat_age scheduler::on_heartbeat(const heartbeat &r, double now, bool reply) {
     if (removed_.count(r.machine))
-        return report_age::dead;
+        return heartbeat_age::dead;
     auto &m = machine_of(r.machine, now);
     set_type(m, r.type, r.zone, r.spot, r.address);
-    if (m.heard_at >= 0 && !r.newer_than(m.session, m.seq))
-        return r.session == m.session ? report_age::stale : report_age::dead;
+    if (m.heard_at >= 0 && !r.newer_than(m.incarnation, m.sequence))
+        return r.incarnation == m.incarnation ? heartbeat_age::stale : heartbeat_age::dead;
     bool first = !m.up;
-    bool new_session = m.heard_at >= 0 && r.session > m.session;
+    bool new_incarnation = m.heard_at >= 0 && r.incarnation > m.incarnation;
     // Guards against ran_twice: the reply to a direct command may overtake an answer that carries a
     // start, and then does not show a task that the answer will yet begin. Only the worker's next
-    // report of its own comes after that answer.
-    if (!reply && (r.session > m.answer_session || r.seq > m.answer_seq))
+    // heartbeat of its own comes after that answer.
+    if (!reply && (r.incarnation > m.answer_incarnation || r.sequence > m.answer_sequence))
         m.answer_until = -1;
-    m.session = r.session;
-    m.seq = r.seq;
+    m.incarnation = r.incarnation;
+    m.sequence = r.sequence;
     m.token = r.token;
     m.heard_at = now;
-    if (!reply || m.reported_at < 0)
-        m.reported_at = now;
-    // Guards against ran_twice: a new session's lease began by itself, before any answer of ours,
-    // and direct commands start tasks in it while reports go unanswered.
-    if (m.session_at < 0 || new_session)
-        m.session_at = now;
-    if (first || new_session)
+    if (!reply || m.own_heartbeat_at < 0)
+        m.own_heartbeat_at = now;
+    // Guards against ran_twice: a new incarnation's lease began by itself, before any answer of
+    // ours, and direct commands start tasks in it while heartbeats go unanswered.
+    if (m.incarnation_at < 0 || new_incarnation)
+        m.incarnation_at = now;
+    if (first || new_incarnation)
         m.lease_bound = std::max(m.lease_bound,
                                  now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s);
     if (first) {
@@ -365,15 +365,15 @@
         m.idle_since = now;
         dirty_ = true;
     }
-    if (new_session)
+    if (new_incarnation)
         m.idle_since = now; // cut off until now, not idle
-    m.strays.clear();
+    m.cleanup_commands.clear();
     if (!r.tasks.empty() || !m.attempts.empty())
         m.touch();
     std::set<catalog::task_ref> listed;
     for (auto &t : r.tasks) {
         listed.insert({t.job, t.index});
-        task_listed(m, t, now);
+        reconcile_listed_task(m, t, now);
     }
     starts_ignored_ = starts_seen_ = false;
     std::vector<catalog::task_ref> missing;
@@ -388,19 +388,20 @@
             continue;
         }
         auto &a = i->second;
-        // A session that ended took every task with it, and commands of it are refused.
-        // What an earlier leader placed, we can't tell in which session; its order may yet arrive.
-        if (new_session && a.present() && !a.inherited)
-            drop_attempt(*j, ref.index, true);
+        // A incarnation that ended took every task with it, and commands of it are refused.
+        // What an earlier leader placed, we can't tell in which incarnation; its order may yet
+        // arrive.
+        if (new_incarnation && a.possibly_running() && !a.inherited)
+            release_attempt(*j, ref.index, true);
         else
-            task_missing(m, *j, a, r, now);
+            reconcile_missing_task(m, *j, a, r, now);
     }
     if (!reply)
-        check_hearing(m, r, new_session, now);
-    if (r.notice_s) {
-        if (m.doomed_at < 0) {
-            m.doomed_at = now + *r.notice_s;
-            withdraw(m);
+        detect_outbound_partition(m, r, new_incarnation, now);
+    if (r.reclaim_notice_s) {
+        if (m.reclaim_at < 0) {
+            m.reclaim_at = now + *r.reclaim_notice_s;
+            withdraw_unstarted(m);
             // What can't finish or save in time starts again elsewhere at once.
             for (auto &ref : m.attempts)
                 if (auto *j = job_of(ref.job))
@@ -408,20 +409,22 @@
                         auto &a = i->second;
                         double ran = a.running_since >= 0 ? now - a.running_since : 0;
                         double left = std::max(0.0, a.estimate_s - ran);
-                        if (a.present() && j->spec.shape == job_shape::array &&
-                            left > *r.notice_s * c::notice_patience)
-                            stop_attempt(a, std::min(*r.notice_s, j->spec.save_s), now);
+                        if (a.possibly_running() && j->spec.shape == job_shape::array &&
+                            left > *r.reclaim_notice_s * c::reclaim_notice_tolerance)
+                            stop_attempt(
+                                a, std::min(*r.reclaim_notice_s, j->spec.checkpoint_duration_s),
+                                now);
                     }
         }
-    } else if (m.doomed_at >= 0) {
-        m.doomed_at = -1;
+    } else if (m.reclaim_at >= 0) {
+        m.reclaim_at = -1;
     }
     if (!m.attempts.empty() || !m.queue.empty())
         m.idle_since = now;
-    return report_age::fresh;
+    return heartbeat_age::fresh;
 }
 
-void engine::task_listed(machine_t &m, const task_report &t, double now) {
+void scheduler::reconcile_listed_task(machine_t &m, const task_status &t, double now) {
     auto *j = job_of(t.job);
     catalog::task_ref ref{t.job, t.index};
     auto *a = attempt_of(ref, t.attempt);
@@ -434,20 +437,20 @@
                 j->spec.shape == job_shape::array && !j->done[t.index]) {
                 task_done(*j, t.index, now);
                 if (auto i = j->live.find(t.index); i != j->live.end()) {
-                    if (i->second.present())
+                    if (i->second.possibly_running())
                         stop_attempt(i->second, 0, now);
                     else
-                        drop_attempt(*j, t.index, false);
+                        release_attempt(*j, t.index, false);
                 }
             }
             // Kept until its being done is durable: losing it would lose the result.
             if (!(t.cause == exit_cause::done && j && t.index < j->spec.tasks && !j->over() &&
                   j->done[t.index] && !j->done_durable[t.index]))
-                m.strays.push_back({order_kind::forget, t.job, t.index, t.attempt, 0});
+                m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, 0});
         } else if (j && t.index < j->spec.tasks && !j->live.count(t.index)) {
-            adopt(m, *j, t, now);
+            adopt_task(m, *j, t, now);
         } else {
-            m.strays.push_back({order_kind::stop, t.job, t.index, t.attempt, 0});
+            m.cleanup_commands.push_back({command_kind::stop, t.job, t.index, t.attempt, 0});
         }
         return;
     }
@@ -476,53 +479,59 @@
         a->running_seen = now;
         m.use_image(j->spec.image, j->spec.image_gb, now);
         break;
-    case task_state::saving:
-        a->phase = attempt_phase::saving;
+    case task_state::checkpointing:
+        a->phase = attempt_phase::checkpointing;
         break;
     case task_state::exited:
-        task_exited(m, *j, *a, t, now);
+        reconcile_exited_task(m, *j, *a, t, now);
         break;
     }
 }
 
-// Guards against feeding a machine whose reports arrive while nothing reaches it: each task given
-// to it would be lost for a lease. Its reports then show neither our token nor our starts, or tell
-// of a session that ended although we had answered.
-void engine::check_hearing(machine_t &m, const worker_report &r, bool new_session, double now) {
-    if (starts_seen_ || (m.told_token > 0 && r.token >= m.told_token && !starts_ignored_)) {
-        if (starts_seen_ || m.told_at >= 0) {
-            m.unheeded = 0;
-            dirty_ = dirty_ || m.deaf_since >= 0;
-            m.deaf_since = -1;
+// Guards against feeding a machine whose heartbeats arrive while nothing reaches it: each task
+// given to it would be lost for a lease. Its heartbeats then show neither our token nor our starts,
+// or tell of a incarnation that ended although we had answered.
+void scheduler::detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
+                                          double now) {
+    if (starts_seen_ ||
+        (m.announced_token > 0 && r.token >= m.announced_token && !starts_ignored_)) {
+        if (starts_seen_ || m.announced_at >= 0) {
+            m.ignored_heartbeats = 0;
+            dirty_ = dirty_ || m.outbound_partition_since >= 0;
+            m.outbound_partition_since = -1;
         }
-        m.told_at = -1;
+        m.announced_at = -1;
     }
-    double round = c::worker_patience_s + 1 + 1.25 * settings_.report_s;
-    // Guards against a mark that outlives its cause: the answer that its last session seemed not to
-    // have got may have gone to a late copy. A session that outlasts a lease was answered.
-    if (m.deaf_since >= 0 && !new_session &&
-        now - m.session_at > settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s + round) {
-        m.unheeded = 0;
-        m.deaf_since = m.told_at = -1;
+    double round = c::worker_patience_s + 1 + 1.25 * settings_.heartbeat_interval_s;
+    // Guards against a mark that outlives its cause: the answer that its last incarnation seemed
+    // not to have got may have gone to a late copy. A incarnation that outlasts a lease was
+    // answered.
+    if (m.outbound_partition_since >= 0 && !new_incarnation &&
+        now - m.incarnation_at >
+            settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s + round) {
+        m.ignored_heartbeats = 0;
+        m.outbound_partition_since = m.announced_at = -1;
         dirty_ = true;
     }
-    bool token_ignored = m.told_at >= 0 && r.token < m.told_token && now - m.told_at > round;
-    if ((starts_ignored_ || token_ignored) && ++m.unheeded == 1)
-        m.unheeded_at = now;
-    bool deaf = m.unheeded >= c::deaf_reports && now - m.unheeded_at > c::worker_patience_s;
-    if (new_session && m.answered_at >= 0 &&
-        now - m.answered_at < c::deaf_share * settings_.lease_s)
+    bool token_ignored =
+        m.announced_at >= 0 && r.token < m.announced_token && now - m.announced_at > round;
+    if ((starts_ignored_ || token_ignored) && ++m.ignored_heartbeats == 1)
+        m.ignored_at = now;
+    bool deaf = m.ignored_heartbeats >= c::outbound_partition_heartbeats &&
+                now - m.ignored_at > c::worker_patience_s;
+    if (new_incarnation && m.answered_at >= 0 &&
+        now - m.answered_at < c::outbound_partition_lease_share * settings_.lease_s)
         deaf = true;
-    if (!deaf || m.deaf_since >= 0)
+    if (!deaf || m.outbound_partition_since >= 0)
         return;
     spdlog::info("{}: does not hear us, gets no more work", m.name);
-    m.deaf_since = now;
-    withdraw(m);
+    m.outbound_partition_since = now;
+    withdraw_unstarted(m);
 }
 
 // A task that runs without our knowing must count everywhere until it is stopped.
-void engine::adopt(machine_t &m, job_t &j, const task_report &t, double now) {
-    unqueue_task(j, t.index);
+void scheduler::adopt_task(machine_t &m, job_t &j, const task_status &t, double now) {
+    remove_from_queue(j, t.index);
     j.again.erase(t.index);
     for (; j.next_fresh <= t.index; ++j.next_fresh)
         if (j.next_fresh != t.index && !j.done[j.next_fresh] && !j.live.count(j.next_fresh) &&
@@ -532,9 +541,9 @@
     a.task = {t.job, t.index};
     a.number = t.attempt;
     a.machine = m.name;
-    a.phase = t.state == task_state::running  ? attempt_phase::running
-              : t.state == task_state::saving ? attempt_phase::saving
-                                              : attempt_phase::fetching;
+    a.phase = t.state == task_state::running         ? attempt_phase::running
+              : t.state == task_state::checkpointing ? attempt_phase::checkpointing
+                                                     : attempt_phase::fetching;
     a.created_at = a.running_since = now;
     a.estimate_s = expected_s(j);
     m.attempts.insert(a.task);
@@ -544,7 +553,8 @@
     spdlog::info("{}: adopted {}/{} attempt {}", m.name, t.job, t.index, t.attempt);
 }
 
-void engine::task_exited(machine_t &m, job_t &j, attempt_t &a, const task_report &t, double now) {
+void scheduler::reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
+                                      double now) {
     dirty_ = true;
     auto index = a.task.index;
     auto cause = t.cause;
@@ -582,7 +592,7 @@
     case exit_cause::no_room:
     case exit_cause::busy:
         m.refused_until = now + c::refused_pause_s;
-        unqueue(m);
+        clear_queue(m);
         break;
     case exit_cause::unknown:
         // Its user may not have uploaded it yet.
@@ -593,39 +603,39 @@
         break;
     }
     if (forget) {
-        drop_attempt(j, index, true);
-        m.strays.push_back({order_kind::forget, t.job, t.index, t.attempt, 0});
+        release_attempt(j, index, true);
+        m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, 0});
     }
 }
 
-void engine::task_failed(machine_t &m, job_t &j, const attempt_t &a, double now) {
+void scheduler::task_failed(machine_t &m, job_t &j, const attempt_t &a, double now) {
     double ran = a.running_since >= 0 ? now - a.running_since : 0;
     if (failures_.attempt_failed({j.spec.id, m.name, ran, job_runs(j)}, now)) {
         spdlog::info("{}: fails wherever it runs, retried one task at a time", j.spec.id);
         while (!j.queued.empty()) {
             auto index = j.queued.begin()->first;
-            unqueue_task(j, index);
+            remove_from_queue(j, index);
             j.push_back(index);
         }
     }
     m.probation_until = failures_.probation_until(m.name);
     if (m.probation_until > now)
-        unqueue(m);
+        clear_queue(m);
     quarantine_faulty();
 }
 
-bool engine::job_runs(const job_t &j) const {
+bool scheduler::job_runs(const job_t &j) const {
     if (j.done_seen > 0)
         return true;
     double proof = failures_.proof_s(j.spec.id);
-    // Reported so again and again: without reports nobody knows whether it still runs.
+    // Reported so again and again: without heartbeats nobody knows whether it still runs.
     return std::any_of(j.live.begin(), j.live.end(), [&](auto &i) {
         auto &a = i.second;
         return a.running_since >= 0 && a.running_seen - a.running_since > proof;
     });
 }
 
-void engine::review_failures() {
+void scheduler::review_failures() {
     for (auto &id : failures_.unproven_jobs()) {
         auto *j = job_of(id);
         if (!j || j->over())
@@ -638,18 +648,18 @@
         m.probation_until = failures_.probation_until(name);
 }
 
-void engine::quarantine_faulty() {
+void scheduler::quarantine_faulty() {
     for (auto &name : failures_.take_faulty()) {
         auto i = machines_.find(name);
         if (i == machines_.end() || i->second.quarantined)
             continue;
         spdlog::info("{}: quarantined, tasks fail there", name);
         i->second.quarantined = true;
-        withdraw(i->second);
+        withdraw_unstarted(i->second);
     }
 }
 
-bool engine::may_place(const job_t &j, double now) const {
+bool scheduler::may_place(const job_t &j, double now) const {
     if (j.waiting() == 0 || now < j.backoff_until)
         return false;
     if (!failures_.is_suspect(j.spec.id))
@@ -657,58 +667,58 @@
     return now >= failures_.retry_at(j.spec.id) && j.queued.empty() && j.live.empty();
 }
 
-void engine::load_suspects(const std::vector<std::string> &jobs, double now) {
+void scheduler::load_suspects(const std::vector<std::string> &jobs, double now) {
     suspects_written_ = jobs;
     for (auto &id : jobs)
         if (job_of(id))
             failures_.load_suspect(id, now);
 }
 
-// The attempt is not in a report newer than all we knew.
-void engine::task_missing(machine_t &m, job_t &j, attempt_t &a, const worker_report &r,
-                          double now) {
+// The attempt is not in a heartbeat newer than all we knew.
+void scheduler::reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
+                                       double now) {
     auto index = a.task.index;
     switch (a.phase) {
     case attempt_phase::committing:
     case attempt_phase::committed:
         return;
     case attempt_phase::exited:
-        // Forgotten by the worker (or its session over); the done record is on its way.
+        // Forgotten by the worker (or its incarnation over); the done record is on its way.
         if (a.cause != exit_cause::done)
-            drop_attempt(j, index, true);
+            release_attempt(j, index, true);
         return;
     case attempt_phase::sent:
-        if (m.tainted(now))
+        if (m.has_unacknowledged_command(now))
             return; // an order may still arrive
         if (a.inherited) {
             // Once the worker has seen our token, no start of an earlier leader can arrive.
             if (r.token >= first_token_)
-                drop_attempt(j, index, true);
+                release_attempt(j, index, true);
             return;
         }
-        // It was in the answer to an older report and is not there: that answer was dropped,
+        // It was in the answer to an older heartbeat and is not there: that answer was dropped,
         // and the worker executes no answer late.
-        if (a.sent_session == r.session && r.seq > a.sent_seq) {
+        if (a.sent_incarnation == r.incarnation && r.sequence > a.sent_sequence) {
             starts_ignored_ = true;
             if (a.stop_wanted || !m.usable())
-                drop_attempt(j, index, true);
+                release_attempt(j, index, true);
             else
                 a.phase = attempt_phase::committed;
         }
         return;
     case attempt_phase::fetching:
     case attempt_phase::running:
-    case attempt_phase::saving:
-        if (!m.tainted(now))
-            drop_attempt(j, index, true);
+    case attempt_phase::checkpointing:
+        if (!m.has_unacknowledged_command(now))
+            release_attempt(j, index, true);
         return;
     }
 }
 
-void engine::task_done(job_t &j, std::uint32_t index, double now) {
+void scheduler::task_done(job_t &j, std::uint32_t index, double now) {
     if (j.over() || j.done[index])
         return;
-    unqueue_task(j, index);
+    remove_from_queue(j, index);
     j.again.erase(index);
     for (; j.next_fresh <= index; ++j.next_fresh)
         if (j.next_fresh != index && !j.done[j.next_fresh] && !j.live.count(j.next_fresh) &&
@@ -719,25 +729,25 @@
     note_done(j, index, now);
 }
 
-// --- orders ---
+// --- commands ---
 
-std::vector<order> engine::orders(machine_t &m, bool in_answer, double now, bool may_start) {
-    std::vector<order> out;
+std::vector<command> scheduler::commands(machine_t &m, bool in_answer, double now, bool may_start) {
+    std::vector<command> out;
     // A start that may still arrive must not follow a reap: it would start the attempt anew.
-    bool forgetting = !m.tainted(now);
+    bool forgetting = !m.has_unacknowledged_command(now);
     if (in_answer || forgetting)
-        for (auto &o : m.strays)
-            if (o.kind != order_kind::forget || forgetting)
+        for (auto &o : m.cleanup_commands)
+            if (o.kind != command_kind::remove || forgetting)
                 out.push_back(o);
-    std::vector<order> starts;
-    // Room once the orders to stop in this very list are carried out, which go before the starts.
+    std::vector<command> starts;
+    // Room once the commands to stop in this very list are carried out, which go before the starts.
     bidding::room room{m.type.cpus, m.type.gpus, m.type.memory_gb};
     for (auto &ref : m.attempts)
         if (auto *j = job_of(ref.job))
             if (auto i = j->live.find(ref.index); i != j->live.end()) {
                 auto &a = i->second;
                 bool stops_now = a.stop_wanted && a.grace_s <= 0;
-                if (a.present() && !stops_now)
+                if (a.possibly_running() && !stops_now)
                     room.take(j->spec);
             }
     for (auto &ref : m.attempts) {
@@ -755,7 +765,7 @@
         case attempt_phase::sent:
             if (a.stop_wanted) {
                 if (a.phase == attempt_phase::sent)
-                    out.push_back({order_kind::stop, ref.job, ref.index, a.number, 0});
+                    out.push_back({command_kind::stop, ref.job, ref.index, a.number, 0});
                 break;
             }
             if (a.inherited || !m.usable() || j->over() || !may_start)
@@ -767,39 +777,40 @@
             }
             a.phase = attempt_phase::sent;
             if (in_answer) {
-                a.sent_session = m.session;
-                a.sent_seq = m.seq;
+                a.sent_incarnation = m.incarnation;
+                a.sent_sequence = m.sequence;
             }
-            starts.push_back({order_kind::start, ref.job, ref.index, a.number, 0});
+            starts.push_back({command_kind::start, ref.job, ref.index, a.number, 0});
             break;
         case attempt_phase::fetching:
         case attempt_phase::running:
             if (a.stop_wanted)
-                out.push_back({order_kind::stop, ref.job, ref.index, a.number, a.grace_s});
+                out.push_back({command_kind::stop, ref.job, ref.index, a.number, a.grace_s});
             break;
-        case attempt_phase::saving:
+        case attempt_phase::checkpointing:
             if (a.stop_wanted && a.grace_s <= 0)
-                out.push_back({order_kind::stop, ref.job, ref.index, a.number, 0});
+                out.push_back({command_kind::stop, ref.job, ref.index, a.number, 0});
             break;
         case attempt_phase::exited:
             break;
         }
     }
     if (in_answer && !starts.empty()) {
-        m.answer_session = m.session;
-        m.answer_seq = m.seq;
+        m.answer_incarnation = m.incarnation;
+        m.answer_sequence = m.sequence;
         m.answer_until = now + c::worker_patience_s * (1 + c::clock_drift) + c::lease_slack_s;
     }
     out.insert(out.end(), starts.begin(), starts.end());
     return out;
 }
 
-std::vector<order> engine::orders_in_answer(const std::string &machine, double now, bool starts) {
+std::vector<command> scheduler::commands_for_answer(const std::string &machine, double now,
+                                                    bool starts) {
     auto i = machines_.find(machine);
-    return i == machines_.end() ? std::vector<order>() : orders(i->second, true, now, starts);
+    return i == machines_.end() ? std::vector<command>() : commands(i->second, true, now, starts);
 }
 
-bool engine::holds_nothing(const worker_report &r) const {
+bool scheduler::holds_nothing(const heartbeat &r) const {
     if (!r.tasks.empty())
         return false;
     auto i = machines_.find(r.machine);
@@ -807,26 +818,27 @@
         return true;
     for (auto &ref : i->second.attempts)
         if (auto *j = find_job(ref.job))
-            if (auto a = j->live.find(ref.index); a != j->live.end() && a->second.present())
+            if (auto a = j->live.find(ref.index);
+                a != j->live.end() && a->second.possibly_running())
                 return false;
     return true;
 }
 
-std::vector<order> engine::orders_in_command(const std::string &machine, double now,
-                                             bool may_start) {
+std::vector<command> scheduler::direct_commands_for(const std::string &machine, double now,
+                                                    bool may_start) {
     auto i = machines_.find(machine);
     if (i == machines_.end() || !i->second.up || i->second.commands_open > 0)
         return {};
     auto &m = i->second;
-    auto out = orders(m, false, now, may_start);
+    auto out = commands(m, false, now, may_start);
     bool starts = false;
     for (auto &o : out)
-        if (o.kind == order_kind::start) {
+        if (o.kind == command_kind::start) {
             starts = true;
-            if (auto *a = attempt_of({o.job, o.index}, o.attempt); a && a->sent_session == 0) {
+            if (auto *a = attempt_of({o.job, o.index}, o.attempt); a && a->sent_incarnation == 0) {
                 // Nothing about it is known until the command is resolved.
-                a->sent_session = m.session;
-                a->sent_seq = m.seq;
+                a->sent_incarnation = m.incarnation;
+                a->sent_sequence = m.sequence;
             }
         }
     if (starts)
@@ -834,9 +846,9 @@
     return out;
 }
 
-bool engine::starts_wanted(const std::vector<order> &orders) const {
-    return std::all_of(orders.begin(), orders.end(), [&](const order &o) {
-        if (o.kind != order_kind::start)
+bool scheduler::starts_wanted(const std::vector<command> &commands) const {
+    return std::all_of(commands.begin(), commands.end(), [&](const command &o) {
+        if (o.kind != command_kind::start)
             return true;
         auto *j = find_job(o.job);
         if (!j || j->over())
@@ -846,51 +858,53 @@
     });
 }
 
-void engine::command_resolved(const std::string &machine) {
+void scheduler::command_resolved(const std::string &machine) {
     if (auto i = machines_.find(machine); i != machines_.end() && i->second.commands_open > 0)
         --i->second.commands_open;
 }
 
-void engine::command_unresolved(const std::string &machine, std::uint64_t token,
-                                std::uint64_t session) {
+void scheduler::command_unresolved(const std::string &machine, std::uint64_t token,
+                                   std::uint64_t incarnation) {
     auto i = machines_.find(machine);
     if (i == machines_.end())
         return;
     if (i->second.commands_open > 0)
         --i->second.commands_open;
     i->second.unresolved_token = std::max(i->second.unresolved_token, token);
-    i->second.unresolved_session = std::max(i->second.unresolved_session, session);
+    i->second.unresolved_incarnation = std::max(i->second.unresolved_incarnation, incarnation);
 }
 
-bool engine::wants_token_raise(double now) {
+bool scheduler::wants_token_raise(double now) {
     if (now - last_raise_ < c::token_bump_s)
         return false;
     for (auto &[name, m] : machines_)
-        if (m.commands_open == 0 && m.command_may_come() && m.unresolved_token >= token_) {
+        if (m.commands_open == 0 && m.has_unacknowledged_direct_command() &&
+            m.unresolved_token >= token_) {
             last_raise_ = now;
             return true;
         }
     return false;
 }
 
-void engine::answered(const std::string &machine, report_age age, double now) {
+void scheduler::answered(const std::string &machine, heartbeat_age age, double now) {
     auto i = machines_.find(machine);
     if (i == machines_.end())
         return;
     auto &m = i->second;
     m.lease_bound =
         std::max(m.lease_bound, now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s);
-    // Guards against a machine taken for deaf: the answer to a late copy reaches nobody.
-    if (age != report_age::fresh)
+    // Guards against a machine taken for outbound-partitioned: the answer to a late copy reaches
+    // nobody.
+    if (age != heartbeat_age::fresh)
         return;
     m.answered_at = now;
-    if (m.told_at < 0 && m.token < token_) {
-        m.told_token = token_;
-        m.told_at = now;
+    if (m.announced_at < 0 && m.token < token_) {
+        m.announced_token = token_;
+        m.announced_at = now;
     }
 }
 
-std::vector<std::string> engine::take_urgent() {
+std::vector<std::string> scheduler::take_urgent() {
     std::vector<std::string> out;
     for (auto i = urgent_.begin(); i != urgent_.end();) {
         auto m = machines_.find(*i);
@@ -908,14 +922,14 @@
 
 // --- views ---
 
-std::optional<engine::progress> engine::job_progress(const std::string &id) const {
+std::optional<scheduler::progress> scheduler::job_progress(const std::string &id) const {
     auto *j = find_job(id);
     if (!j)
         return {};
     return progress{j->done_count, j->running()};
 }
 
-std::string engine::summary() const {
+std::string scheduler::summary() const {
     std::size_t up = 0, booting = 0, spot = 0, queued = 0, attempts = 0, waiting = 0, running = 0;
     for (auto &[n, m] : machines_) {
         m.up ? ++up : ++booting;
@@ -931,7 +945,7 @@
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
                        "{} queued {} waiting, {} stopped to make room",
                        up, booting, spot, jobs_.size(), attempts, running, queued, waiting,
-                       made_room_);
+                       preempted_tasks_);
 }
 
 } // namespace spindlecroft::control
--- a/src/control/engine.hpp
+++ b/src/control/scheduler.hpp
@@ -22,7 +22,7 @@
 
 namespace spindlecroft::control {
 
-// Keys in the state service.
+// Keys in the key-value store.
 std::string active_key(const std::string &job);
 std::string ended_key(const std::string &job);
 std::string placed_key(const std::string &segment);
@@ -38,7 +38,7 @@
 inline constexpr const char *suspects_key = "f/suspects";
 inline constexpr const char *leader_key = "leader";
 
-enum class write_kind { placed, done, job_end, cleanup, rental, suspects };
+enum class write_kind { placed, done, job_end, cleanup, rental_request, suspects };
 
 // A change that must be durable before its consequence.
 struct durable_write {
@@ -49,12 +49,12 @@
     std::string segment;             // placed, done: the record's name
     std::vector<std::pair<catalog::task_ref, std::uint64_t>> attempts; // placed: newly covered
     std::vector<catalog::task_ref> done;                               // done: newly covered
-    std::string rental;                                                // rental: the round's name
+    std::string rental_request;                                        // rental: the round's name
     std::vector<std::string> suspects;                                 // suspects: the jobs
 };
 
-struct rental_state {
-    rental what;
+struct tracked_rental {
+    rental_request what;
     std::string round;                 // the record that names it
     double asked_at = 0;               // s, steady clock; when the intent arose
     bool durable = false;              // the name is written: the cloud may be asked
@@ -64,9 +64,9 @@
     double next_try = 0;               // s
 };
 
-class engine {
+class scheduler {
   public:
-    engine(const settings::settings &s, std::vector<machine_type> types);
+    scheduler(const settings::settings &s, std::vector<machine_type> types);
 
     // --- taking over ---
     // wall_offset: time of day minus the steady clock, for records that outlive this process.
@@ -95,31 +95,33 @@
     // the jobs that need them don't start.
     std::set<std::string> unresolved_predecessors() const;
     void on_token(std::uint64_t token);
-    // A report, from /checkin or in the answer to a direct command.
-    enum class report_age {
+    // A heartbeat, from /checkin or in the answer to a direct command.
+    enum class heartbeat_age {
         fresh,
-        stale, // of the current session, but a newer message came before it
-        dead,  // of an earlier session, or of a machine that is gone
+        stale, // of the current incarnation, but a newer message came before it
+        dead,  // of an earlier incarnation, or of a machine that is gone
     };
-    // reply: it came in the answer to a direct command, not as a report of its own.
-    report_age on_report(const worker_report &r, double now, bool reply = false);
-    // Orders to give in the answer to the newest report.
+    // reply: it came in the answer to a direct command, not as a heartbeat of its own.
+    heartbeat_age on_heartbeat(const heartbeat &r, double now, bool reply = false);
+    // Orders to give in the answer to the newest heartbeat.
     // starts: whether tasks may be started now.
-    std::vector<order> orders_in_answer(const std::string &machine, double now, bool starts = true);
-    // Neither the report nor what is presumed there names a task.
-    bool holds_nothing(const worker_report &r) const;
+    std::vector<command> commands_for_answer(const std::string &machine, double now,
+                                             bool starts = true);
+    // Neither the heartbeat nor what is possibly running names a task.
+    bool holds_nothing(const heartbeat &r) const;
     // The answer was given: the worker's lease may now last until then.
-    void answered(const std::string &machine, report_age age, double now);
+    void answered(const std::string &machine, heartbeat_age age, double now);
     // Orders for a direct command; marks the machine until the command is resolved.
-    std::vector<order> orders_in_command(const std::string &machine, double now,
-                                         bool starts = true);
-    // Whether every start among the orders is still wanted.
-    bool starts_wanted(const std::vector<order> &orders) const;
+    std::vector<command> direct_commands_for(const std::string &machine, double now,
+                                             bool starts = true);
+    // Whether every start among the commands is still wanted.
+    bool starts_wanted(const std::vector<command> &commands) const;
     void command_resolved(const std::string &machine);
-    void command_unresolved(const std::string &machine, std::uint64_t token, std::uint64_t session);
+    void command_unresolved(const std::string &machine, std::uint64_t token,
+                            std::uint64_t incarnation);
     void on_types(std::vector<machine_type> types);
     // A complete list of machines, asked for at asked_at.
-    void on_hosts(const std::vector<host> &hosts, double asked_at, double now);
+    void on_machine_list(const std::vector<listed_machine> &hosts, double asked_at, double now);
     void on_rented(const std::string &request, const std::vector<std::string> &machines,
                    double now);
     void on_rent_refused(const std::string &request, double now);
@@ -128,15 +130,15 @@
     void on_delete_failed(const std::vector<std::string> &machines);
     void on_written(const durable_write &w, bool ok, std::uint64_t revision, double now);
     void tick(double now);
-    // Changes a second that the state service allows.
+    // Changes a second that the key-value store allows.
     void set_state_write_rps(double rps) { settings_.state_write_rps = rps; }
 
     // --- decisions ---
     // room: how many records that can wait may be given out now; what waits longer covers more.
     std::vector<durable_write> take_writes(double now, std::size_t room = 1000);
     std::vector<std::string> take_deletions(double now);
-    std::vector<rental> take_rentals(double now);
-    // Machines to which orders should go at once.
+    std::vector<rental_request> take_rentals(double now);
+    // Machines to which commands should go at once.
     std::vector<std::string> take_urgent();
     // A command to it is under way already: it is to be given out again.
     void keep_urgent(const std::string &machine) { urgent_.insert(machine); }
@@ -167,9 +169,11 @@
     void set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
                   const std::string &address);
 
-    void task_listed(machine_t &m, const task_report &t, double now);
-    void task_exited(machine_t &m, job_t &j, attempt_t &a, const task_report &t, double now);
-    void task_missing(machine_t &m, job_t &j, attempt_t &a, const worker_report &r, double now);
+    void reconcile_listed_task(machine_t &m, const task_status &t, double now);
+    void reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
+                               double now);
+    void reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
+                                double now);
     void task_done(job_t &j, std::uint32_t index, double now);
     void task_failed(machine_t &m, job_t &j, const attempt_t &a, double now);
     // An attempt that runs for long enough, or is done, shows that the job works.
@@ -180,20 +184,23 @@
     // A suspect job is retried one task at a time.
     bool may_place(const job_t &j, double now) const;
     void write_suspects(std::vector<durable_write> &out, double now);
-    void drop_attempt(job_t &j, std::uint32_t index, bool again);
+    void release_attempt(job_t &j, std::uint32_t index, bool again);
     void stop_attempt(attempt_t &a, double grace_s, double now);
     void cancel_job(job_t &j, double wall_at, double now);
     // Work that saves may do so before it makes room; other work would only lose the time.
-    static double grace_of(const job_spec &s) { return s.checkpoint_s > 0 ? s.save_s : 0; }
+    static double grace_of(const job_spec &s) {
+        return s.checkpoint_interval_s > 0 ? s.checkpoint_duration_s : 0;
+    }
     void clear_machine(machine_t &m, bool gone, double now);
     void remove_machine(const std::string &name, double now);
-    void unqueue(machine_t &m);
-    void withdraw(machine_t &m);
-    void unqueue_task(job_t &j, std::uint32_t index);
-    void check_hearing(machine_t &m, const worker_report &r, bool new_session, double now);
-    void adopt(machine_t &m, job_t &j, const task_report &t, double now);
-    std::vector<order> orders(machine_t &m, bool in_answer, double now, bool may_start);
-    void want_delete(machine_t &m, const char *why);
+    void clear_queue(machine_t &m);
+    void withdraw_unstarted(machine_t &m);
+    void remove_from_queue(job_t &j, std::uint32_t index);
+    void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
+                                   double now);
+    void adopt_task(machine_t &m, job_t &j, const task_status &t, double now);
+    std::vector<command> commands(machine_t &m, bool in_answer, double now, bool may_start);
+    void request_deletion(machine_t &m, const char *why);
 
     void check_leases(double now);
     void check_cancelled(double now);
@@ -210,11 +217,11 @@
     std::size_t place_of(const std::string &type, const std::string &zone, bool spot);
     std::uint32_t image_number(const std::string &image);
     // Tasks of the latest array for which such a replica would take the room.
-    int spoilt_slots(const bidder &b, const job_spec &s) const;
-    bidder *make_way(const job_t &j, bid_round &round, double now);
+    int displaced_slots(const bidder &b, const job_spec &s) const;
+    bidder *preempt_for_guarantee(const job_t &j, bid_round &round, double now);
     // The machines that may get work now, with what they hold brought up to date.
     std::vector<bidder *> make_bidders(double now);
-    // For how long a machine that has not reported can be called booting. After a takeover even
+    // For how long a machine that has not reported can be called booting. After a failover even
     // machines that are up have not reported yet.
     double boot_age(const machine_t &m, double now) const;
     void refresh_bidder(bidder &b, double now);
@@ -233,7 +240,7 @@
     void mark_guaranteed();
     bool type_allowed(const job_spec &s, const std::string &type) const;
     double expected_s(const job_t &j) const;
-    fairness::waiting_job urgency_of(const job_t &j, double now) const;
+    fairness::waiting_job waiting_job_of(const job_t &j, double now) const;
     durable_write end_write(const job_t &j, double now);
     // --- dependencies (engine_dependencies.cpp) ---
     void add_dependencies(job_t &j, double now);
@@ -260,10 +267,10 @@
     bidding::estimates estimates_;
     std::map<std::string, job_t> jobs_;
     catalog::dependency_graph graph_;  // of jobs_; its times are of the steady clock
-    std::set<std::string> inheriting_; // jobs whose rank or due times come from others
+    std::set<std::string> inheriting_; // jobs whose priority or due times come from others
     std::map<std::string, machine_t> machines_;
     std::map<std::string, bidder> bidders_; // of machines, as last worked out
-    std::map<std::string, rental_state> rentals_;
+    std::map<std::string, tracked_rental> rentals_;
     struct rental_round {
         bool written = false, busy = false;
     };
@@ -274,12 +281,12 @@
     std::map<std::string, int> asked_; // machines asked for by offer, not answered yet
     static std::string offer_key(const std::string &type, const std::string &zone, bool spot);
     workers::failure_ledger failures_;
-    std::vector<std::string> suspects_written_; // as the record at the state service has them
+    std::vector<std::string> suspects_written_; // as the record at the key-value store has them
     bool suspects_busy_ = false;
     double suspects_at_ = -1e9; // s; when the record was last written
     std::vector<durable_write> cleanup_;
     // Placements of any jobs share records, filled one after another, so that a round of placements
-    // costs one change at the state service, however many jobs it touches.
+    // costs one change at the key-value store, however many jobs it touches.
     struct segment {
         std::vector<wire::placed_task> tasks;
         std::size_t bytes = 0;
@@ -287,7 +294,7 @@
     };
     std::map<std::string, segment> segments_;
     // Done tasks share records in the same way: at full size one for each job would take more
-    // changes a second than the state service allows.
+    // changes a second than the key-value store allows.
     struct done_record {
         std::set<std::pair<std::string, std::uint32_t>> parts; // of jobs
         std::size_t bytes = 0;
@@ -326,8 +333,8 @@
     std::map<std::string, std::uint32_t> image_numbers_;
     std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
     double last_check_ = -1e9;               // s
-    std::uint64_t made_room_ = 0;            // tasks stopped for others
-    bool starts_ignored_ = false, starts_seen_ = false; // in the report at hand
+    std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
+    bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
 };
 
 } // namespace spindlecroft::control
--- a/src/control/engine_dependencies.cpp
+++ b/src/control/scheduler_dependencies.cpp
@@ -1,7 +1,7 @@
 // Jobs that wait for others: readiness, cancels passed on, and what a job inherits from those that
 // need it.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include "fairness/chain_order.hpp"
 #include <algorithm>
 #include <cmath>
@@ -11,9 +11,9 @@
 
 namespace c = constants;
 
-// Guards against too_early and orphaned after a takeover: readiness comes from durable records
+// Guards against too_early and orphaned after a failover: readiness comes from durable records
 // alone, and a job with a predecessor that is not known yet is neither ready nor cancelled.
-void engine::add_dependencies(job_t &j, double now) {
+void scheduler::add_dependencies(job_t &j, double now) {
     j.ready_at = j.accepted_at;
     if (j.spec.predecessors.empty())
         return;
@@ -21,7 +21,7 @@
     graph_.add(id, j.spec.predecessors);
     for (auto &predecessor : j.spec.predecessors)
         if (auto *p = job_of(predecessor); p && p->cancelled)
-            graph_.note_end(predecessor, {job_stage::cancelled, now});
+            graph_.note_end(predecessor, {job_state::cancelled, now});
     auto stands = graph_.of(id);
     j.ready = stands == catalog::standing::ready;
     j.ready_at = now;
@@ -29,20 +29,20 @@
         cancel_job(j, 0, now);
 }
 
-void engine::on_predecessor_end(const std::string &id, const catalog::predecessor_end &end,
-                                double now) {
+void scheduler::on_predecessor_end(const std::string &id, const catalog::predecessor_end &end,
+                                   double now) {
     auto steady = end;
     steady.at = end.at > 0 ? std::min(now, end.at - wall_offset_) : now;
     follow(graph_.note_end(id, steady), now);
 }
 
 // The end that we wrote ourselves.
-void engine::note_own_end(const durable_write &end, double now) {
+void scheduler::note_own_end(const durable_write &end, double now) {
     auto record = wire::parse_ended(end.ops.back().value);
-    on_predecessor_end(end.job, {record.stage, record.at}, now);
+    on_predecessor_end(end.job, {record.state, record.at}, now);
 }
 
-void engine::follow(const catalog::dependency_graph::changes &changes, double now) {
+void scheduler::follow(const catalog::dependency_graph::changes &changes, double now) {
     for (auto &id : changes.ready)
         if (auto *j = job_of(id)) {
             j->ready = true;
@@ -55,13 +55,13 @@
             cancel_job(*j, 0, now);
 }
 
-std::set<std::string> engine::unresolved_predecessors() const {
+std::set<std::string> scheduler::unresolved_predecessors() const {
     return graph_.unresolved([&](const std::string &id) { return jobs_.count(id) > 0; });
 }
 
 // From its readiness to its end: fetching the image, and as many waves as its team's limit makes
 // of its tasks.
-double engine::chain_duration_s(const job_t &j) const {
+double scheduler::chain_duration_s(const job_t &j) const {
     auto &s = j.spec;
     double tasks = s.tasks - j.done_seen, waves = 1;
     if (auto *team = teams_.find(s.team)) {
@@ -78,12 +78,12 @@
     return c::chain_stage_s + fetch_s + waves * c::chain_run_margin * expected_s(j);
 }
 
-std::optional<fairness::chain_member> engine::chain_member_of(const std::string &id) const {
+std::optional<fairness::chain_member> scheduler::chain_member_of(const std::string &id) const {
     auto *j = find_job(id);
     if (!j || j->over())
         return {};
     fairness::chain_member member;
-    member.rank = j->own_rank;
+    member.priority = j->own_priority;
     member.duration_s = chain_duration_s(*j);
     if (double own = j->spec.deadline_s.value_or(0); own > 0) {
         double latest = own;
@@ -95,7 +95,7 @@
     return member;
 }
 
-void engine::inherit_along_chains() {
+void scheduler::inherit_along_chains() {
     if (graph_.nodes().empty() && inheriting_.empty())
         return;
     auto inherited =
@@ -110,19 +110,19 @@
         take_inherited(id, {});
 }
 
-void engine::take_inherited(const std::string &id, const fairness::inherited &from) {
+void scheduler::take_inherited(const std::string &id, const fairness::inherited &from) {
     auto *j = job_of(id);
     if (!j)
         return;
     j->inherited_first_due = from.due ? std::optional(from.due->first) : std::nullopt;
     j->inherited_last_due = from.due ? std::optional(from.due->last) : std::nullopt;
-    auto rank = std::min(j->own_rank, from.rank);
-    if (rank == j->spec.rank)
+    auto priority = std::min(j->own_priority, from.priority);
+    if (priority == j->spec.priority)
         return;
-    j->spec.rank = rank;
+    j->spec.priority = priority;
     for (auto &[index, a] : j->live)
         if (auto m = machines_.find(a.machine); m != machines_.end())
-            m->second.touch(); // which room its tasks leave to others depends on the rank
+            m->second.touch(); // which room its tasks leave to others depends on the priority
 }
 
 } // namespace spindlecroft::control
--- a/src/control/engine_fleet.cpp
+++ b/src/control/scheduler_fleet.cpp
@@ -1,6 +1,6 @@
 // Which machines to rent and which to give back.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
@@ -11,14 +11,14 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-std::string engine::offer_key(const std::string &type, const std::string &zone, bool spot) {
+std::string scheduler::offer_key(const std::string &type, const std::string &zone, bool spot) {
     return fmt::format("{}|{}|{}", type, zone, spot);
 }
 
 // The cheapest place for such a task that was not refused of late.
-std::optional<rental_offer> engine::cheapest_offer(const job_spec &s, bool spot,
-                                                   const std::set<std::string> *zones,
-                                                   double now) const {
+std::optional<rental_offer> scheduler::cheapest_offer(const job_spec &s, bool spot,
+                                                      const std::set<std::string> *zones,
+                                                      double now) const {
     std::optional<rental_offer> best;
     for (auto &t : types_) {
         if (!type_allowed(s, t.name))
@@ -37,7 +37,7 @@
             // Guards against asking many times over for what is sold out: each request costs a call
             // to the cloud and a part of a record. One asks; more follow when it was filled.
             auto asked = asked_.find(key);
-            if (asked != asked_.end() && asked->second >= c::hosts_per_request &&
+            if (asked != asked_.end() && asked->second >= c::machines_per_request &&
                 sold_out_.count(key))
                 continue;
             // Boot time is paid for and waited for.
@@ -49,7 +49,7 @@
     return best;
 }
 
-void engine::rent(const rental_offer &o, int count, double now) {
+void scheduler::rent(const rental_offer &o, int count, double now) {
     // Wishes of one round for the same kind of machine share a request, and all requests of a round
     // a record, as far as it holds.
     asked_[offer_key(o.type->name, o.zone, o.spot)] += count;
@@ -61,13 +61,13 @@
             bytes += wire::rental_bytes(r.what);
             if (r.asked_at == now && !r.durable && r.what.type == o.type->name &&
                 r.what.zone == o.zone && r.what.spot == o.spot &&
-                r.what.count + count <= c::hosts_per_request) {
+                r.what.count + count <= c::machines_per_request) {
                 r.what.count += count;
                 return;
             }
         }
     auto request = fmt::format("r-{}-{}", first_token_, ++rental_counter_);
-    rental what{request, o.type->name, o.zone, o.spot, count};
+    rental_request what{request, o.type->name, o.zone, o.spot, count};
     bytes += wire::rental_bytes(what);
     if (rental_round_at_ != now || in_round >= c::rentals_per_record ||
         bytes > most_record_bytes()) {
@@ -80,7 +80,7 @@
     s.asked_at = now;
 }
 
-void engine::fleet_for_services(std::vector<bidder> &fleet, double now) {
+void scheduler::fleet_for_services(std::vector<bidder> &fleet, double now) {
     auto fits_on = [&](bidder &b, const job_spec &s) {
         return (!b.spot || s.spot) && type_allowed(s, b.type->name) &&
                (!s.zone || *s.zone == b.zone) && b.critical.fits(s);
@@ -152,7 +152,7 @@
                 if (fits_on(b, s) &&
                     (!best || (s.spread && per_zone[b.zone] < per_zone[best->zone]) ||
                      ((!s.spread || per_zone[b.zone] == per_zone[best->zone]) &&
-                      spoilt_slots(b, s) < spoilt_slots(*best, s))))
+                      displaced_slots(b, s) < displaced_slots(*best, s))))
                     best = &b;
             if (best) {
                 best->hold(s, 0);
@@ -167,7 +167,7 @@
     }
 }
 
-double engine::ordinary_patience(const job_spec &s) const {
+double scheduler::ordinary_patience(const job_spec &s) const {
     double spot = 0, ordinary = 0; // the least price of room for one task
     for (auto &t : types_) {
         int slots = bidding::room{t.cpus, t.gpus, t.memory_gb}.slots(s);
@@ -183,7 +183,7 @@
     return std::clamp(ordinary / spot, 1.0, c::ordinary_patience);
 }
 
-void engine::fleet_for_arrays(std::vector<bidder> &fleet, double now) {
+void scheduler::fleet_for_arrays(std::vector<bidder> &fleet, double now) {
     // Work that comes and goes, as far as its teams' limits let it run, by what a task needs. Kinds
     // are kept apart: room for small tasks is none for large ones.
     struct kind {
@@ -203,7 +203,7 @@
             n = std::min(n, 1.0); // no room is rented for what fails anyway
         double w = n * expected_s(j);
         for (auto &[i, a] : j.live)
-            if (a.holds_room()) {
+            if (a.holds_resources()) {
                 double ran = a.running_since >= 0 ? now - a.running_since : 0;
                 w += std::max(0.2 * a.estimate_s, a.estimate_s - ran);
                 ++n;
@@ -271,18 +271,18 @@
     }
 }
 
-void engine::return_idle(double now) {
+void scheduler::return_idle(double now) {
     for (auto &[name, m] : machines_) {
         if (!m.up || m.deleting || !m.attempts.empty() || !m.queue.empty() || spare_.count(name))
             continue;
         double keep = std::max(c::idle_least_s, c::idle_boots * m.type.boot_s);
         if (now - m.idle_since > keep)
-            want_delete(m, "idle");
+            request_deletion(m, "idle");
     }
 }
 
-void engine::plan_fleet(double now) {
-    std::vector<bidder> fleet; // copies: what is planned here is no promise
+void scheduler::plan_fleet(double now) {
+    std::vector<bidder> fleet; // copies: what is planned here is no vote
     for (auto *b : make_bidders(now))
         fleet.push_back(*b);
     asked_.clear();
--- a/src/control/engine_machines.cpp
+++ b/src/control/scheduler_machines.cpp
@@ -1,6 +1,6 @@
-// The life of machines as the engine sees it: listed, rented, deleted, gone.
+// The life of machines as the scheduler sees it: listed, rented, deleted, gone.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -10,8 +10,8 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-void engine::clear_machine(machine_t &m, bool gone, double now) {
-    unqueue(m);
+void scheduler::clear_machine(machine_t &m, bool gone, double now) {
+    clear_queue(m);
     auto refs = m.attempts;
     for (auto &ref : refs) {
         auto *j = job_of(ref.job);
@@ -20,13 +20,13 @@
         auto &a = j->live[ref.index];
         if (a.phase == attempt_phase::exited && a.cause == exit_cause::done)
             continue; // its being done is a fact that is being written
-        if (gone || a.present())
-            drop_attempt(*j, ref.index, true);
+        if (gone || a.possibly_running())
+            release_attempt(*j, ref.index, true);
     }
     (void)now;
 }
 
-void engine::remove_machine(const std::string &name, double now) {
+void scheduler::remove_machine(const std::string &name, double now) {
     auto i = machines_.find(name);
     if (i == machines_.end())
         return;
@@ -39,16 +39,16 @@
     dirty_ = true;
 }
 
-void engine::want_delete(machine_t &m, const char *why) {
+void scheduler::request_deletion(machine_t &m, const char *why) {
     if (m.deleting)
         return;
     spdlog::info("{} ({} {} {}): to be deleted, {}", m.name, m.type.name, m.zone,
                  m.spot ? "spot" : "ordinary", why);
     m.deleting = true;
-    withdraw(m);
+    withdraw_unstarted(m);
 }
 
-std::vector<std::string> engine::take_deletions(double now) {
+std::vector<std::string> scheduler::take_deletions(double now) {
     std::vector<std::string> out;
     for (auto &[name, m] : machines_)
         if (m.deleting && m.delete_sent_at < 0 &&
@@ -59,22 +59,23 @@
     return out;
 }
 
-void engine::on_deleted(const std::vector<std::string> &machines, double now) {
+void scheduler::on_deleted(const std::vector<std::string> &machines, double now) {
     for (auto &name : machines)
         remove_machine(name, now);
 }
 
-void engine::on_delete_failed(const std::vector<std::string> &machines) {
+void scheduler::on_delete_failed(const std::vector<std::string> &machines) {
     for (auto &name : machines)
         if (auto i = machines_.find(name); i != machines_.end())
             i->second.delete_sent_at = -1;
 }
 
-void engine::on_types(std::vector<machine_type> types) {
+void scheduler::on_types(std::vector<machine_type> types) {
     types_ = std::move(types);
 }
 
-void engine::on_hosts(const std::vector<host> &hosts, double asked_at, double now) {
+void scheduler::on_machine_list(const std::vector<listed_machine> &hosts, double asked_at,
+                                double now) {
     std::set<std::string> listed;
     for (auto &h : hosts) {
         listed.insert(h.id);
@@ -87,11 +88,11 @@
             if (!m.up)
                 m.rented_at = std::min(m.rented_at, now - h.age_s);
         }
-        if (h.state == host::stage::running && m.running_at < 0)
+        if (h.state == machine_state::running && m.running_at < 0)
             m.running_at = now;
-        if (h.state == host::stage::failed) {
+        if (h.state == machine_state::failed) {
             clear_machine(m, true, now);
-            want_delete(m, "failed");
+            request_deletion(m, "failed");
         }
     }
     // A list describes a time at most twice the usual lag ago. A machine that existed before then
@@ -115,8 +116,8 @@
     });
 }
 
-std::vector<rental> engine::take_rentals(double now) {
-    std::vector<rental> out;
+std::vector<rental_request> scheduler::take_rentals(double now) {
+    std::vector<rental_request> out;
     for (auto &[request, s] : rentals_)
         if (s.durable && !s.asking && !s.answered && s.next_try <= now) {
             s.asking = true;
@@ -127,8 +128,8 @@
     return out;
 }
 
-void engine::on_rented(const std::string &request, const std::vector<std::string> &machines,
-                       double now) {
+void scheduler::on_rented(const std::string &request, const std::vector<std::string> &machines,
+                          double now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
@@ -154,7 +155,7 @@
     dirty_ = true;
 }
 
-void engine::on_rent_refused(const std::string &request, double now) {
+void scheduler::on_rent_refused(const std::string &request, double now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
@@ -168,7 +169,7 @@
     last_fleet_ = -1e9; // look for another offer at once
 }
 
-void engine::on_rent_unsure(const std::string &request, double now) {
+void scheduler::on_rent_unsure(const std::string &request, double now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
--- a/src/control/engine_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -1,6 +1,6 @@
 // Bids, worker queues and starts.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include "fairness/team_order.hpp"
 #include <algorithm>
 #include <spdlog/spdlog.h>
@@ -17,9 +17,9 @@
     } else {
         work_s += remaining_s;
     }
-    if (s.rank == priority::critical)
+    if (s.priority == priority_class::critical)
         critical.take(s);
-    if (s.rank != priority::low)
+    if (s.priority != priority_class::low)
         above_idle.take(s);
 }
 
@@ -31,17 +31,17 @@
     return true;
 }
 
-bool engine::type_allowed(const job_spec &s, const std::string &type) const {
+bool scheduler::type_allowed(const job_spec &s, const std::string &type) const {
     return !s.types || std::find(s.types->begin(), s.types->end(), type) != s.types->end();
 }
 
 // The owner's estimate, corrected by what was measured of the class and of this very job.
-double engine::expected_s(const job_t &j) const {
+double scheduler::expected_s(const job_t &j) const {
     double prior = estimates_.expected_s(j.spec);
     return (prior + j.took_sum) / (1 + j.took_count);
 }
 
-std::size_t engine::place_of(const std::string &type, const std::string &zone, bool spot) {
+std::size_t scheduler::place_of(const std::string &type, const std::string &zone, bool spot) {
     for (std::size_t i = 0; i < places_.size(); ++i)
         if (places_[i].type == type && places_[i].zone == zone && places_[i].spot == spot)
             return i;
@@ -49,17 +49,17 @@
     return places_.size() - 1;
 }
 
-std::uint32_t engine::image_number(const std::string &image) {
+std::uint32_t scheduler::image_number(const std::string &image) {
     return image_numbers_.emplace(image, static_cast<std::uint32_t>(image_numbers_.size()))
         .first->second;
 }
 
 // The job's zone rules, given its other tasks: those presumed anywhere and those queued.
-std::vector<char> engine::places_for(const job_t &j) const {
+std::vector<char> scheduler::places_for(const job_t &j) const {
     auto &s = j.spec;
     std::map<std::string, std::uint32_t> in_zone;
     std::uint32_t unknown = 0, all = 0;
-    if (s.spread || s.one_zone) {
+    if (s.spread || s.same_zone) {
         auto count = [&](const std::string &name) {
             ++all;
             auto i = machines_.find(name);
@@ -80,7 +80,7 @@
         bool ok = type_allowed(s, p.type) && (!s.zone || *s.zone == p.zone) && (!p.spot || s.spot);
         auto here = in_zone.find(p.zone);
         std::uint32_t known = here == in_zone.end() ? 0 : here->second;
-        if (s.one_zone && known != all)
+        if (s.same_zone && known != all)
             ok = false;
         if (s.spread && known + unknown >= j.zone_cap())
             ok = false;
@@ -89,13 +89,13 @@
     return out;
 }
 
-void engine::count_usage() {
+void scheduler::count_usage() {
     teams_.clear_usage();
     stopping_.clear();
     for (auto &[id, j] : jobs_) {
         int n = static_cast<int>(j.queued.size());
         for (auto &[i, a] : j.live)
-            if (a.holds_room()) {
+            if (a.holds_resources()) {
                 ++n;
                 if (a.stop_wanted)
                     stopping_[j.spec.team] += j.spec.cpus;
@@ -107,7 +107,7 @@
 
 // Guards against stopping work for nothing: a job that does not fit its team's guarantee as a whole
 // waits for others anyway, and each task that is stopped for it has run in vain.
-void engine::mark_guaranteed() {
+void scheduler::mark_guaranteed() {
     bool any = false;
     for (auto &t : settings_.teams)
         any = any || t.cpus > 0 || t.gpus > 0;
@@ -129,7 +129,7 @@
     }
 }
 
-void engine::refresh_bidder(bidder &b, double now) {
+void scheduler::refresh_bidder(bidder &b, double now) {
     auto &m = *b.m;
     m.changed = false;
     b.refreshed_at = now;
@@ -149,13 +149,13 @@
         if (!j)
             continue;
         auto i = j->live.find(ref.index);
-        if (i == j->live.end() || !i->second.holds_room())
+        if (i == j->live.end() || !i->second.holds_resources())
             continue;
         auto &a = i->second;
         double ran = a.running_since >= 0 ? now - a.running_since : 0;
         // Past its estimate: as much again as a fifth of it, rather than nothing.
         b.hold(j->spec, std::max(a.estimate_s - ran, 0.2 * a.estimate_s));
-        if (a.phase != attempt_phase::running && a.phase != attempt_phase::saving)
+        if (a.phase != attempt_phase::running && a.phase != attempt_phase::checkpointing)
             b.fetch(j->image);
     }
     for (auto &t : m.queue)
@@ -165,16 +165,16 @@
         }
 }
 
-double engine::boot_age(const machine_t &m, double now) const {
+double scheduler::boot_age(const machine_t &m, double now) const {
     double age = now - m.rented_at;
-    // Guards against deleting the whole fleet as never up, right after a takeover.
-    double finding_us = c::silent_reports * settings_.report_s + c::silent_margin_s;
+    // Guards against deleting the whole fleet as never up, right after a failover.
+    double finding_us = c::silent_heartbeats * settings_.heartbeat_interval_s + c::silent_margin_s;
     if (now - began_ < finding_us)
         age = std::min(age, m.type.boot_s);
     return age;
 }
 
-std::vector<bidder *> engine::make_bidders(double now) {
+std::vector<bidder *> scheduler::make_bidders(double now) {
     std::vector<bidder *> out;
     out.reserve(machines_.size());
     for (auto &[name, m] : machines_) {
@@ -200,7 +200,7 @@
     return out;
 }
 
-int engine::spoilt_slots(const bidder &b, const job_spec &s) const {
+int scheduler::displaced_slots(const bidder &b, const job_spec &s) const {
     if (!typical_)
         return 0;
     auto after = b.whole;
@@ -208,14 +208,15 @@
     return b.whole.slots(*typical_) - after.slots(*typical_);
 }
 
-std::optional<round_bid> engine::bid_of(const job_t &j, bidder &b, const std::vector<char> &places,
-                                        double expected, bool some_failed, double now) const {
+std::optional<round_bid> scheduler::bid_of(const job_t &j, bidder &b,
+                                           const std::vector<char> &places, double expected,
+                                           bool some_failed, double now) const {
     auto &s = j.spec;
     if (!places[b.place] || !b.m->takes_work(now))
         return {};
     if (some_failed && failures_.failed_on(j.spec.id, b.m->name))
         return {};
-    bool critical = s.rank == priority::critical;
+    bool critical = s.priority == priority_class::critical;
     bool preempting = false;
     if (s.shape == job_shape::service || critical) {
         // A service leaves only with its user: nobody queues behind it.
@@ -226,10 +227,10 @@
     } else if (!b.whole.fits(s)) {
         return {};
     } else {
-        // Work of the lowest rank makes room where waiting for it would take longer.
+        // Work of the lowest priority makes room where waiting for it would take longer.
         bool waits =
             b.boot_s <= 0 && !b.free.fits(s) && b.work_s > c::preempt_cost_s * b.whole.slots(s);
-        preempting = waits && s.rank != priority::low && b.above_idle.fits(s);
+        preempting = waits && s.priority != priority_class::low && b.above_idle.fits(s);
     }
     auto offer = bidding::make_bid(
         b.m->speed, b.type->fetch_gb_per_s, s, b.free, b.whole, preempting ? 0 : b.work_s, b.boot_s,
@@ -245,25 +246,28 @@
         r.finish_s += c::preempt_cost_s;
     // Between equals, a replica goes where it spoils least room for work that comes and goes.
     if (s.shape == job_shape::service)
-        r.finish_s += c::spoilt_slot_s * spoilt_slots(b, s);
+        r.finish_s += c::displaced_slot_cost_s * displaced_slots(b, s);
     return r;
 }
 
 // The lowest bid among all machines.
-std::optional<round_bid> engine::best_bid(const job_t &j, bid_round &round, double now) {
+std::optional<round_bid> scheduler::best_bid(const job_t &j, bid_round &round, double now) {
     auto &s = j.spec;
     double expected = expected_s(j);
     auto places = places_for(j);
     auto failed = failures_.failed_machines(s.id);
     bool some_failed = failed > 0 && failed < round.bidders.size();
-    bid_round::need need{
-        s.cpus, s.gpus, s.memory_gb, s.shape == job_shape::service, s.rank == priority::critical,
-        places};
+    bid_round::need need{s.cpus,
+                         s.gpus,
+                         s.memory_gb,
+                         s.shape == job_shape::service,
+                         s.priority == priority_class::critical,
+                         places};
     // Whether a machine bids at all depends on nothing else of the job.
     if (!some_failed && round.full.count(need))
         return {};
     std::optional<round_bid> best;
-    if (s.shape == job_shape::service || s.one_zone || s.spread) {
+    if (s.shape == job_shape::service || s.same_zone || s.spread) {
         // Where its tasks may be changes with each, and a bid may fall when another holds room.
         for (auto *b : round.bidders)
             if (auto r = bid_of(j, *b, places, expected, some_failed, now))
@@ -305,7 +309,7 @@
     return best;
 }
 
-bool engine::bid_once(job_t &j, bid_round &round, double now) {
+bool scheduler::bid_once(job_t &j, bid_round &round, double now) {
     auto &s = j.spec;
     if (j.waiting() == 0)
         return false;
@@ -314,7 +318,7 @@
     bool first = false;
     if ((!best || offer->queued_s > c::guarantee_wait_s) && j.guaranteed &&
         teams_.within_guarantee(s))
-        if (auto *b = make_way(j, round, now)) {
+        if (auto *b = preempt_for_guarantee(j, round, now)) {
             best = b;
             first = true;
         }
@@ -324,12 +328,13 @@
     if (!j.pop_waiting(index))
         return false;
     double estimate = expected_s(j) / std::max(best->m->speed, c::speed_floor);
-    workers::queued_task t{{s.id, index}, s.rank, estimate};
+    workers::queued_task t{{s.id, index}, s.priority, estimate};
     auto &q = best->m->queue;
-    // First in, first out among equals; higher rank goes before, and so does work for which others
-    // were stopped.
-    auto at = std::find_if(q.begin(), q.end(),
-                           [&](auto &x) { return first ? x.rank >= s.rank : x.rank > s.rank; });
+    // First in, first out among equals; higher priority goes before, and so does work for which
+    // others were stopped.
+    auto at = std::find_if(q.begin(), q.end(), [&](auto &x) {
+        return first ? x.priority >= s.priority : x.priority > s.priority;
+    });
     q.insert(at, t);
     best->m->startable = true;
     j.queued[index] = best->m->name;
@@ -343,7 +348,7 @@
 
 // A team's guaranteed work finds no room soon: the latest work that another team runs beyond its
 // own guarantee is stopped for it (PROTOCOL, "Preemption").
-bidder *engine::make_way(const job_t &j, bid_round &round, double now) {
+bidder *scheduler::preempt_for_guarantee(const job_t &j, bid_round &round, double now) {
     auto &s = j.spec;
     // Most of the time nobody is beyond its guarantee; then no machine need be looked at.
     auto beyond = [&](const std::string &team) {
@@ -381,19 +386,19 @@
             continue;
         auto &a = i->second;
         auto &o = other->spec;
-        if (!a.present() || a.stop_wanted || o.cpus < s.cpus || o.gpus < s.gpus ||
+        if (!a.possibly_running() || a.stop_wanted || o.cpus < s.cpus || o.gpus < s.gpus ||
             o.memory_gb < s.memory_gb || beyond(o.team) < o.cpus)
             continue;
         // Guards against work that is stopped twice: idle work that took the room of other work has
         // to make room for the same work in turn.
-        if (s.rank == priority::low && o.rank != priority::low)
+        if (s.priority == priority_class::low && o.priority != priority_class::low)
             continue;
         auto at = bidders_.find(a.machine);
         if (at == bidders_.end() || !places[at->second.place] || !at->second.m->takes_work(now) ||
             failures_.failed_on(s.id, a.machine))
             continue;
         stopping_[o.team] += o.cpus;
-        ++made_room_;
+        ++preempted_tasks_;
         stop_attempt(a, grace_of(o), now);
         return &at->second;
     }
@@ -403,7 +408,7 @@
 // A machine has nothing in its queue while tasks wait in queues elsewhere: all of those are bid
 // again. Bidding again only as many as the idle room holds left replicas in the queues of machines
 // that boot late, and queues out of their team's order (round g5).
-void engine::rebid(double now) {
+void scheduler::rebid(double now) {
     if (now - last_rebid_ < c::idle_rebid_s)
         return;
     bool waiting = false, idle = false;
@@ -418,10 +423,10 @@
     last_rebid_ = now;
     for (auto &[name, m] : machines_)
         if (!m.queue.empty())
-            unqueue(m);
+            clear_queue(m);
 }
 
-fairness::waiting_job engine::urgency_of(const job_t &j, double now) const {
+fairness::waiting_job scheduler::waiting_job_of(const job_t &j, double now) const {
     fairness::waiting_job w;
     double expected = expected_s(j);
     // The deadline counts from the submission, everything else from when the job was ready.
@@ -459,7 +464,7 @@
     return w;
 }
 
-void engine::plan_bids(double now) {
+void scheduler::plan_bids(double now) {
     if (now < hold_until_)
         return;
     rebid(now);
@@ -475,10 +480,11 @@
         job_t *job;
         std::uint32_t most; // tasks in this turn
     };
-    for (auto rank : {priority::critical, priority::high, priority::normal, priority::low}) {
+    for (auto priority : {priority_class::critical, priority_class::high, priority_class::normal,
+                          priority_class::low}) {
         std::map<std::string, std::vector<candidate>> teams;
         for (auto &[id, j] : jobs_)
-            if (j.spec.rank == rank && may_place(j, now))
+            if (j.spec.priority == priority && may_place(j, now))
                 teams[j.spec.team].push_back({&j, fairness::all_tasks});
         for (auto &[name, list] : teams) {
             if (list.size() < 2)
@@ -491,7 +497,7 @@
             for (auto *b : round.bidders)
                 slots += b->whole.slots(first);
             for (auto &x : list)
-                waiting.push_back(urgency_of(*x.job, now));
+                waiting.push_back(waiting_job_of(*x.job, now));
             std::vector<candidate> sorted;
             for (auto &t : fairness::serving_order(waiting, std::min(slots, limit)))
                 sorted.push_back({list[t.job].job, t.most});
@@ -530,7 +536,7 @@
             start_queued(m, now);
 }
 
-void engine::start_queued(machine_t &m, double now) {
+void scheduler::start_queued(machine_t &m, double now) {
     if (!m.up || !m.usable() || m.silent || !m.takes_work(now))
         return;
     m.startable = false;
@@ -542,13 +548,13 @@
         if (!j)
             continue;
         auto i = j->live.find(ref.index);
-        if (i == j->live.end() || !i->second.holds_room())
+        if (i == j->live.end() || !i->second.holds_resources())
             continue;
         auto &a = i->second;
         room.take(j->spec);
         if (a.stop_wanted)
             stopping = true;
-        else if (j->spec.rank > priority::critical && a.present())
+        else if (j->spec.priority > priority_class::critical && a.possibly_running())
             lower.push_back(&a);
     }
     while (!m.queue.empty()) {
@@ -559,12 +565,13 @@
             continue;
         }
         if (!room.fits(j->spec)) {
-            // Work of lower rank makes room for critical work, and the lowest rank for all others;
-            // the last to begin loses least.
-            if (t.rank == priority::low || stopping)
+            // Work of lower priority makes room for critical work, and the lowest priority for all
+            // others; the last to begin loses least.
+            if (t.priority == priority_class::low || stopping)
                 return;
             std::sort(lower.begin(), lower.end(), [&](auto *a, auto *b) {
-                auto ra = job_of(a->task.job)->spec.rank, rb = job_of(b->task.job)->spec.rank;
+                auto ra = job_of(a->task.job)->spec.priority,
+                     rb = job_of(b->task.job)->spec.priority;
                 return ra != rb ? ra > rb : a->created_at > b->created_at;
             });
             auto sum = room;
@@ -573,8 +580,8 @@
                 if (sum.fits(j->spec))
                     break;
                 auto &victim = *job_of(a->task.job);
-                if (t.rank != priority::critical &&
-                    (victim.spec.rank != priority::low || victim.live.size() <= 1))
+                if (t.priority != priority_class::critical &&
+                    (victim.spec.priority != priority_class::low || victim.live.size() <= 1))
                     continue; // the last task of a job stays: it would not begin anew for long
                 sum.give(victim.spec);
                 victims.push_back(a);
@@ -585,11 +592,11 @@
             for (auto *a : victims) {
                 double grace = grace_of(job_of(a->task.job)->spec);
                 at_once = at_once && grace <= 0;
-                ++made_room_;
+                ++preempted_tasks_;
                 stop_attempt(*a, grace, now);
             }
             // Its placement is written while the others are being stopped; the start follows the
-            // orders to stop, in the same message if need be.
+            // commands to stop, in the same message if need be.
             if (!at_once)
                 return;
             std::erase_if(lower, [&](auto *a) { return a->stop_wanted; });
@@ -614,21 +621,22 @@
 
 // --- time passes ---
 
-void engine::check_leases(double now) {
+void scheduler::check_leases(double now) {
     for (auto &[name, m] : machines_) {
         if (now <= m.lease_bound || m.attempts.empty())
             continue;
         // Unanswered for longer than its lease: the worker has killed and forgotten its tasks,
-        // and refuses commands of that session.
+        // and refuses commands of that incarnation.
         auto refs = m.attempts;
         for (auto &ref : refs)
             if (auto *j = job_of(ref.job))
-                if (auto i = j->live.find(ref.index); i != j->live.end() && i->second.present())
-                    drop_attempt(*j, ref.index, true);
+                if (auto i = j->live.find(ref.index);
+                    i != j->live.end() && i->second.possibly_running())
+                    release_attempt(*j, ref.index, true);
     }
 }
 
-void engine::check_cancelled(double now) {
+void scheduler::check_cancelled(double now) {
     for (auto &[id, j] : jobs_) {
         if (!j.cancelled || j.live.empty())
             continue;
@@ -637,14 +645,14 @@
             if (m == machines_.end() || m->second.deleting)
                 continue;
             if (now - j.cancelled_at > c::cancel_delete_share * settings_.cancel_s)
-                want_delete(m->second, "a cancelled task may still be there");
-            else if (now - m->second.heard_at > settings_.report_s / 2)
+                request_deletion(m->second, "a cancelled task may still be there");
+            else if (now - m->second.heard_at > settings_.heartbeat_interval_s / 2)
                 urgent_.insert(a.machine);
         }
     }
 }
 
-void engine::check_machines(double now) {
+void scheduler::check_machines(double now) {
     struct tally {
         double up = 0, quiet = 0;
         // Many at once: rather they, or we, are cut off than dead.
@@ -652,11 +660,11 @@
     };
     std::map<std::string, tally> zones;
     tally all;
-    double limit = c::silent_reports * settings_.report_s + c::silent_margin_s;
+    double limit = c::silent_heartbeats * settings_.heartbeat_interval_s + c::silent_margin_s;
     auto silent_for = [&](const machine_t &m) {
         // Listed as running without a word to us counts from then. Guards against feeding a machine
         // that reaches no controller while our commands reach it: its lease ends with all we give.
-        double since = m.up ? std::max(m.reported_at, began_) : m.running_at;
+        double since = m.up ? std::max(m.own_heartbeat_at, began_) : m.running_at;
         return since >= 0 ? now - since : 0.0;
     };
     for (auto &[name, m] : machines_) {
@@ -671,7 +679,7 @@
         }
         // Nothing waits in the queue of a machine that may be dead.
         if (m.silent && !m.queue.empty())
-            unqueue(m);
+            clear_queue(m);
     }
     bool all_doubt = all.doubt(3, c::silent_share);
     // After a cut the machines come back one after another.
@@ -686,28 +694,30 @@
         // use again after the cut: deleting them at once would end work for nothing.
         bool doubt = all_doubt || zone_doubt_until_[m.zone] > now;
         if (m.silent && (!doubt || silent_for(m) > limit + settings_.lease_s + c::cut_patience_s)) {
-            want_delete(m, "silent");
+            request_deletion(m, "silent");
         } else if (!m.up && m.known_type && m.running_at < 0 &&
                    age > c::boot_late * m.type.boot_s + 5) {
-            // Not if it is listed as running: then it is we who don't hear it, as after a takeover
+            // Not if it is listed as running: then it is we who don't hear it, as after a failover
             // in a cut, and it counts as silent.
-            want_delete(m, "never came up");
-        } else if (m.doomed_at >= 0 && (now > m.doomed_at || m.attempts.empty())) {
-            want_delete(m, "taken back");
-        } else if (m.deaf_since >= 0 && now - m.deaf_since > c::deaf_leases * settings_.lease_s) {
+            request_deletion(m, "never came up");
+        } else if (m.reclaim_at >= 0 && (now > m.reclaim_at || m.attempts.empty())) {
+            request_deletion(m, "taken back");
+        } else if (m.outbound_partition_since >= 0 &&
+                   now - m.outbound_partition_since >
+                       c::outbound_partition_leases * settings_.lease_s) {
             // Whatever was there has lost its lease; what an earlier leader sent is proven gone
             // only by this, since the machine never shows our token.
-            want_delete(m, "does not hear us");
+            request_deletion(m, "does not hear us");
         } else if (m.quarantined && m.attempts.empty()) {
-            want_delete(m, "quarantined");
+            request_deletion(m, "quarantined");
         } else if (m.up && m.speed_samples >= c::slow_samples && m.speed < c::slow_machine &&
                    m.attempts.empty()) {
-            want_delete(m, "slow");
+            request_deletion(m, "slow");
         }
     }
 }
 
-void engine::tick(double now) {
+void scheduler::tick(double now) {
     if (!ready_)
         return;
     if (now - last_check_ >= c::check_gap_s) {
--- a/src/control/engine_records.cpp
+++ b/src/control/scheduler_records.cpp
@@ -1,6 +1,6 @@
-// The engine's durable records: what is written, in what order, and what follows once it is.
+// The scheduler's durable records: what is written, in what order, and what follows once it is.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -10,21 +10,21 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-durable_write engine::end_write(const job_t &j, double now) {
+durable_write scheduler::end_write(const job_t &j, double now) {
     durable_write w;
     w.kind = write_kind::job_end;
     w.job = j.spec.id;
     w.when.push_back({active_key(w.job), j.version});
     w.ops.push_back({active_key(w.job), "", 0});
     wire::ended_record e;
-    e.stage = j.cancelled ? job_stage::cancelled : job_stage::done;
+    e.state = j.cancelled ? job_state::cancelled : job_state::done;
     e.done = j.done_seen;
     e.at = now + wall_offset_; // from then on those that wait for it are ready
     w.ops.push_back({ended_key(w.job), wire::encode_ended(e), 0});
     return w;
 }
 
-void engine::write_placements(std::vector<durable_write> &out, double now) {
+void scheduler::write_placements(std::vector<durable_write> &out, double now) {
     std::size_t most_bytes = std::min(most_record_bytes(), c::txn_bytes);
     // Four conditions for each change that a transaction may hold, less the fence's and the
     // record's.
@@ -38,7 +38,7 @@
             auto &seg = segments_[name];
             if (seg.busy)
                 break; // the next write takes all that gathers meanwhile
-            // Guards against placements that take every change the state service allows, one for
+            // Guards against placements that take every change the key-value store allows, one for
             // each few tasks, while the records of ended jobs wait and users hear of them too late.
             if (kind == 0 && now < next_placement_)
                 break;
@@ -64,7 +64,7 @@
                     continue;
                 }
                 if (!j->ready) { // never queued, so never here; checked again before it is durable
-                    drop_attempt(*j, ref.index, true);
+                    release_attempt(*j, ref.index, true);
                     waiting.pop_front();
                     continue;
                 }
@@ -109,7 +109,7 @@
     }
 }
 
-void engine::clean_up(const std::string &key) {
+void scheduler::clean_up(const std::string &key) {
     durable_write w;
     w.kind = write_kind::cleanup;
     w.ops.push_back({key, "", 0});
@@ -119,8 +119,8 @@
 // One record for all requests of a round, written before the cloud is asked. It is dropped when
 // every machine is in a list, or gone: until then the next leader has to ask again for the names,
 // or it would rent as many once more.
-void engine::write_rentals(std::vector<durable_write> &out) {
-    std::map<std::string, std::vector<rental_state *>> rounds;
+void scheduler::write_rentals(std::vector<durable_write> &out) {
+    std::map<std::string, std::vector<tracked_rental *>> rounds;
     for (auto &[request, s] : rentals_)
         rounds[s.round].push_back(&s);
     for (auto &[name, list] : rounds) {
@@ -128,8 +128,8 @@
         if (round.busy)
             continue;
         durable_write w;
-        w.kind = write_kind::rental;
-        w.rental = name;
+        w.kind = write_kind::rental_request;
+        w.rental_request = name;
         if (!round.written) {
             wire::rental_record r;
             r.at = list.front()->asked_at + wall_offset_;
@@ -155,7 +155,7 @@
 }
 
 // Records whose placements have all ended are dropped.
-void engine::sweep_segments(double now) {
+void scheduler::sweep_segments(double now) {
     if (now - last_sweep_ < c::sweep_gap_s)
         return;
     last_sweep_ = now;
@@ -185,12 +185,12 @@
     }
 }
 
-std::size_t engine::most_record_bytes() const {
+std::size_t scheduler::most_record_bytes() const {
     return static_cast<std::size_t>(c::placed_fill * settings_.value_kb * 1024);
 }
 
 // The record that takes the next part of so many bytes.
-std::string engine::open_done_record(std::size_t bytes) {
+std::string scheduler::open_done_record(std::size_t bytes) {
     auto open = done_records_.find(open_done_);
     if (open != done_records_.end() && open->second.bytes + bytes <= most_record_bytes())
         return open_done_;
@@ -204,7 +204,7 @@
 // Guards against a record that an earlier version filled under larger limits and that can't be
 // written any more: it stays as it is until its jobs have ended, and what is new of a part goes
 // into another record. A part in two records is done where either says so.
-void engine::note_done(job_t &j, std::uint32_t index, double now) {
+void scheduler::note_done(job_t &j, std::uint32_t index, double now) {
     auto part = static_cast<std::uint32_t>(index / c::part_done);
     auto &name = j.done_in[part];
     if (name.empty() || done_records_[name].too_large) {
@@ -222,7 +222,7 @@
 }
 
 // A job's last done tasks are in its ended record; until then all jobs share a few records.
-void engine::write_done(std::vector<durable_write> &out, double now, std::size_t &room) {
+void scheduler::write_done(std::vector<durable_write> &out, double now, std::size_t &room) {
     std::vector<std::pair<double, std::string>> due;
     for (auto &[name, r] : done_records_)
         if (r.dirty && !r.busy && now - r.since >= c::done_gap_s)
@@ -265,7 +265,7 @@
 
 // Guards against a new leader that tries every task of a job that fails everywhere once more, and
 // blames the machines for it.
-void engine::write_suspects(std::vector<durable_write> &out, double now) {
+void scheduler::write_suspects(std::vector<durable_write> &out, double now) {
     if (suspects_busy_ || now - suspects_at_ < c::suspects_gap_s)
         return;
     auto most = most_record_bytes();
@@ -288,7 +288,7 @@
     out.push_back(std::move(w));
 }
 
-void engine::on_done_written(const durable_write &w, bool ok, double now) {
+void scheduler::on_done_written(const durable_write &w, bool ok, double now) {
     auto r = done_records_.find(w.segment);
     if (r != done_records_.end()) {
         r->second.busy = false;
@@ -309,11 +309,11 @@
         }
         if (auto i = j->live.find(t.index);
             i != j->live.end() && i->second.phase == attempt_phase::exited)
-            drop_attempt(*j, t.index, false);
+            release_attempt(*j, t.index, false);
     }
 }
 
-std::vector<durable_write> engine::take_writes(double now, std::size_t room) {
+std::vector<durable_write> scheduler::take_writes(double now, std::size_t room) {
     std::vector<durable_write> out;
     if (!ready_)
         return out;
@@ -345,7 +345,7 @@
     return out;
 }
 
-void engine::on_placements_written(const durable_write &w, bool ok, double now) {
+void scheduler::on_placements_written(const durable_write &w, bool ok, double now) {
     if (auto seg = segments_.find(w.segment); seg != segments_.end())
         seg->second.busy = false;
     for (auto &[ref, number] : w.attempts) {
@@ -359,7 +359,7 @@
             continue;
         auto m = machines_.find(a->machine);
         if (!ok || j->over() || m == machines_.end() || !m->second.usable()) {
-            drop_attempt(*j, ref.index, true);
+            release_attempt(*j, ref.index, true);
             continue;
         }
         a->phase = attempt_phase::committed;
@@ -367,10 +367,10 @@
     }
 }
 
-void engine::on_written(const durable_write &w, bool ok, std::uint64_t, double now) {
+void scheduler::on_written(const durable_write &w, bool ok, std::uint64_t, double now) {
     dirty_ = true;
-    if (w.kind == write_kind::rental) {
-        auto i = rental_rounds_.find(w.rental);
+    if (w.kind == write_kind::rental_request) {
+        auto i = rental_rounds_.find(w.rental_request);
         if (i == rental_rounds_.end())
             return;
         i->second.busy = false;
@@ -379,7 +379,7 @@
         bool dropped = w.ops.front().value.empty();
         i->second.written = true;
         for (auto r = rentals_.begin(); r != rentals_.end();) {
-            if (r->second.round != w.rental) {
+            if (r->second.round != w.rental_request) {
                 ++r;
                 continue;
             }
@@ -416,7 +416,7 @@
             break;
         }
         while (!j->live.empty())
-            drop_attempt(*j, j->live.begin()->first, false);
+            release_attempt(*j, j->live.begin()->first, false);
         jobs_.erase(w.job);
         graph_.remove(w.job);
         note_own_end(w, now);
@@ -424,7 +424,7 @@
     case write_kind::placed:
     case write_kind::done:
     case write_kind::cleanup:
-    case write_kind::rental:
+    case write_kind::rental_request:
     case write_kind::suspects:
         break;
     }
--- a/src/control/submissions.cpp
+++ b/src/control/submissions.cpp
@@ -39,9 +39,9 @@
     using verdict = dependency_check::verdict;
     dependency_check out;
     for (auto &id : predecessors) {
-        std::optional<job_stage> stage;
+        std::optional<job_state> state;
         if (auto e = cache_.ended(id)) {
-            stage = e->stage;
+            state = e->state;
         } else if (!cache_.active(id)) {
             auto now = co_await current(id);
             if (!now) {
@@ -53,7 +53,7 @@
                 out.why = fmt::format("awaits: {} was never accepted", id);
                 co_return out;
             }
-            stage = (*now)->stage;
+            state = (*now)->state;
         }
         if (auto *j = cache_.active(id)) {
             if (j->record.spec.shape == job_shape::service) {
@@ -61,14 +61,14 @@
                 out.why = fmt::format("awaits: {} runs until it is cancelled", id);
                 co_return out;
             }
-            stage =
+            state =
                 j->record.cancelled || cache_.dependencies().of(id) == catalog::standing::cancelled
-                    ? job_stage::cancelled
-                    : job_stage::pending;
+                    ? job_state::cancelled
+                    : job_state::pending;
         }
-        if (stage == job_stage::cancelled)
+        if (state == job_state::cancelled)
             out.cancelled = true;
-        else if (stage != job_stage::done)
+        else if (state != job_state::done)
             out.unfinished.push_back(id);
     }
     co_return out;
@@ -80,7 +80,7 @@
     job_spec spec;
     try {
         spec = wire::parse_submission(body);
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         co_return error(400, e.what());
     }
     if (!cache_.loaded() || !types_ || user_commits_.full())
@@ -110,23 +110,23 @@
         if (!now)
             co_return cut_off();
         if (*now)
-            co_return response{200, wire::encode_accepted(spec.id, (*now)->stage), 0, false};
+            co_return response{200, wire::encode_accepted(spec.id, (*now)->state), 0, false};
         co_return why.empty() ? cut_off() : error(422, why);
     }
-    auto stage = record.cancelled ? job_stage::cancelled : job_stage::pending;
+    auto state = record.cancelled ? job_state::cancelled : job_state::pending;
     store::unit u;
-    u.rank = store::urgency::accept;
+    u.priority = store::request_priority::accept;
     u.when = {{active_key(spec.id), 0}, {ended_key(spec.id), 0}};
     u.ops = {{active_key(spec.id), value, 0}};
     auto how = co_await commit(std::move(u), c::user_request_s - 1.5);
     if (how == store::unit_outcome::committed)
-        co_return response{201, wire::encode_accepted(spec.id, stage), 0, false};
+        co_return response{201, wire::encode_accepted(spec.id, state), 0, false};
     if (how == store::unit_outcome::too_large)
         co_return error(422, "the description is longer than the state service takes");
     if (how == store::unit_outcome::conflict) {
         auto now = co_await current(spec.id);
         if (now && *now)
-            co_return response{200, wire::encode_accepted(spec.id, (*now)->stage), 0, false};
+            co_return response{200, wire::encode_accepted(spec.id, (*now)->state), 0, false};
     }
     co_return cut_off();
 }
--- a/src/control/user_requests.cpp
+++ b/src/control/user_requests.cpp
@@ -46,7 +46,7 @@
     if (auto e = cache_.ended(id)) {
         job_status s;
         s.id = id;
-        s.stage = e->stage;
+        s.state = e->state;
         s.done = e->done;
         co_return result(s);
     }
@@ -59,10 +59,10 @@
     if (auto *j = cache_.active(id)) {
         bool with_predecessor = cache_.dependencies().of(id) == catalog::standing::cancelled;
         if (j->record.cancelled || with_predecessor) {
-            s.stage = job_stage::cancelled;
+            s.state = job_state::cancelled;
             co_return result(s);
         }
-        std::optional<engine::progress> p;
+        std::optional<scheduler::progress> p;
         if (lead_ && lead_->core) {
             p = lead_->core->job_progress(id);
         } else {
@@ -76,7 +76,7 @@
             s.done = p->done;
             s.running = p->running;
         }
-        s.stage = s.running > 0 ? job_stage::running : job_stage::pending;
+        s.state = s.running > 0 ? job_state::running : job_state::pending;
         co_return result(s);
     }
     auto e = cache_.ended(id);
@@ -95,7 +95,7 @@
         }
         e = **read;
     }
-    s.stage = e->stage;
+    s.state = e->state;
     s.done = e->done;
     co_return result(s);
 }
@@ -125,26 +125,26 @@
             co_return cut_off();
         if (!*s)
             co_return error(404, "no such job");
-        if ((*s)->stage == job_stage::done || (*s)->stage == job_stage::cancelled)
-            co_return response{200, wire::encode_accepted(id, (*s)->stage), 0, false};
+        if ((*s)->state == job_state::done || (*s)->state == job_state::cancelled)
+            co_return response{200, wire::encode_accepted(id, (*s)->state), 0, false};
         auto *j = cache_.active(id);
         if (!j)
             continue;
         auto record = catalog::cancelled_record(j->record, wall_s(), settings_.value_bytes());
         store::unit u;
-        u.rank = store::urgency::cancel;
+        u.priority = store::request_priority::cancel;
         u.when = {{active_key(id), j->version}};
         u.ops = {{active_key(id), wire::encode_job_record(record), 0}};
         // Durable first, then known to whoever may renew leases, then told: also where the answer
-        // from the state service comes after the user has gone.
+        // from the key-value store comes after the user has gone.
         u.noted = [this, id, at = record.cancelled_at](std::uint64_t revision) {
             cancel_notice n{id, revision, at};
             member_.note_cancel(n);
-            obey_cancel(n);
+            apply_cancel(n);
         };
         auto how = co_await commit(std::move(u), std::max(0.2, limit - now_s()));
         if (how == store::unit_outcome::committed) {
-            co_return response{200, wire::encode_accepted(id, job_stage::cancelled), 0, false};
+            co_return response{200, wire::encode_accepted(id, job_state::cancelled), 0, false};
         }
         if (how != store::unit_outcome::conflict)
             break;
--- a/src/control/worker_exchange.cpp
+++ b/src/control/worker_exchange.cpp
@@ -15,8 +15,8 @@
                                  settings_.cancel_s);
 }
 
-// Acted on without the state service; what the records will say of the same changes nothing more.
-void controller::obey_cancel(const cancel_notice &n) {
+// Acted on without the key-value store; what the records will say of the same changes nothing more.
+void controller::apply_cancel(const cancel_notice &n) {
     if (!lead_ || n.revision <= cache_.revision())
         return;
     lead_->cancels[n.job] = n;
@@ -31,49 +31,49 @@
         auto hint = member_.leader_hint();
         return response{421, wire::encode_redirect(hint == settings_.node ? "" : hint), 0, false};
     };
-    member_.note_report();
+    member_.note_heartbeat();
     if (!member_.leading() || !lead_)
         co_return elsewhere();
     auto l = lead_;
     // A new leader that is still reading the records has an answer within moments.
-    for (double limit = now_s() + 1.5; !l->core && now_s() < limit && in_charge(l);)
+    for (double limit = now_s() + 1.5; !l->core && now_s() < limit && may_act(l);)
         co_await net::sleep_s(0.05);
-    if (!l->core || !in_charge(l))
+    if (!l->core || !may_act(l))
         co_return elsewhere();
-    worker_report report;
+    heartbeat report;
     try {
-        report = wire::parse_report(body);
-    } catch (const wire::bad_message &e) {
+        report = wire::parse_heartbeat(body);
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("a report was malformed: {}", e.what());
         co_return error(400, e.what());
     }
-    ++l->reports;
+    ++l->heartbeats_received;
     double now = now_s();
-    auto age = l->core->on_report(report, now);
+    auto age = l->core->on_heartbeat(report, now);
     l->wake.notify();
-    if (age == engine::report_age::dead)
+    if (age == scheduler::heartbeat_age::dead)
         co_return unsure("out of date");
     // Guards against ran_cancelled: where a cancel may have been confirmed that this node can't
     // know of, only a machine that holds nothing is answered, and it gets nothing to start.
     bool blind = !may_renew(now);
     if (blind && !l->core->holds_nothing(report))
         co_return elsewhere();
-    auto orders = l->core->orders_in_answer(report.machine, now, !blind);
-    auto text = wire::encode_orders(member_.token(), orders);
-    // Orders that do not fit a line wait for the next report.
-    while (text.size() > c::line_limit - 1024 && orders.size() > 1) {
-        orders.resize(orders.size() / 2);
-        text = wire::encode_orders(member_.token(), orders);
+    auto commands = l->core->commands_for_answer(report.machine, now, !blind);
+    auto text = wire::encode_heartbeat_answer(member_.token(), commands);
+    // Orders that do not fit a line wait for the next heartbeat.
+    while (text.size() > c::line_limit - 1024 && commands.size() > 1) {
+        commands.resize(commands.size() / 2);
+        text = wire::encode_heartbeat_answer(member_.token(), commands);
     }
     // Checked right before the answer: without entitlement it must not renew a lease.
-    if (!in_charge(l) || (!blind && !may_renew(now_s())))
+    if (!may_act(l) || (!blind && !may_renew(now_s())))
         co_return elsewhere();
     l->core->answered(report.machine, age, now_s());
     co_return response{200, text, 0, false};
 }
 
-// Orders sent to the worker at once, without waiting for its report.
-awaitable<void> controller::command(std::shared_ptr<leadership> l, std::string machine) {
+// Orders sent to the worker at once, without waiting for its heartbeat.
+awaitable<void> controller::send_commands(std::shared_ptr<leadership> l, std::string machine) {
     if (!l->commanding.insert(machine).second)
         co_return;
     struct leave {
@@ -82,17 +82,17 @@
         ~leave() { s.erase(m); }
     } leaving{l->commanding, machine};
     auto *m = l->core->find_machine(machine);
-    if (!m || m->address.empty() || !in_charge(l))
+    if (!m || m->address.empty() || !may_act(l))
         co_return;
-    auto session = m->session;
+    auto incarnation = m->incarnation;
     auto address = m->address;
-    auto orders = l->core->orders_in_command(machine, now_s(), may_renew(now_s()));
-    if (orders.empty())
+    auto commands = l->core->direct_commands_for(machine, now_s(), may_renew(now_s()));
+    if (commands.empty())
         co_return;
     bool starts = false;
-    for (auto &o : orders)
-        starts = starts || o.kind == order_kind::start;
-    ++l->commands;
+    for (auto &o : commands)
+        starts = starts || o.kind == command_kind::start;
+    ++l->commands_sent;
     auto token = member_.token();
     auto client = l->workers[address];
     try {
@@ -108,13 +108,13 @@
     }
     // Guards against a start that is sent after its job was cancelled, or by a leader that stood
     // still while it connected.
-    net::permission permitted = [this, l, starts, &orders] {
-        return in_charge(l) && (!starts || (may_renew(now_s()) && l->core->starts_wanted(orders)));
+    net::permission permitted = [this, l, starts, &commands] {
+        return may_act(l) && (!starts || (may_renew(now_s()) && l->core->starts_wanted(commands)));
     };
     auto a = co_await client->call("POST", wire::path_commands,
-                                   wire::encode_commands(token, session, orders),
+                                   wire::encode_direct_commands(token, incarnation, commands),
                                    c::worker_timeout_s, false, std::move(permitted));
-    // Guards against commands to a large fleet that use up the sockets its reports need.
+    // Guards against commands to a large fleet that use up the sockets its heartbeats need.
     if (l->workers.size() > sockets_.commands && client.use_count() == 2)
         l->workers.erase(address);
     if (l->over || !l->core)
@@ -122,14 +122,14 @@
     bool settled = a.how == net::outcome::not_sent;
     if (a.how == net::outcome::answered && (a.status == 200 || a.status == 409)) {
         try {
-            auto report = wire::parse_report(a.body);
+            auto report = wire::parse_heartbeat(a.body);
             settled = true;
             if (starts)
                 l->core->command_resolved(machine);
             starts = false;
             if (report.machine == machine)
-                l->core->on_report(report, now_s(), true);
-        } catch (const wire::bad_message &e) {
+                l->core->on_heartbeat(report, now_s(), true);
+        } catch (const wire::malformed_message &e) {
             spdlog::warn("{}: {}", machine, e.what());
         }
     }
@@ -137,7 +137,7 @@
         if (settled)
             l->core->command_resolved(machine);
         else
-            l->core->command_unresolved(machine, token, session);
+            l->core->command_unresolved(machine, token, incarnation);
     }
     l->wake.notify();
 }
--- a/src/fairness/chain_order.cpp
+++ b/src/fairness/chain_order.cpp
@@ -7,7 +7,7 @@
 
 // The job's own values together with those that it inherits.
 chain_member combined(chain_member own, const inherited &from) {
-    own.rank = std::min(own.rank, from.rank);
+    own.priority = std::min(own.priority, from.priority);
     if (!from.due)
         return own;
     if (!own.due)
@@ -20,7 +20,7 @@
 } // namespace
 
 void inherited::merge(const chain_member &dependent) {
-    rank = std::min(rank, dependent.rank);
+    priority = std::min(priority, dependent.priority);
     if (!dependent.due)
         return;
     due_times earlier{dependent.due->first - dependent.duration_s,
--- a/src/fairness/chain_order.hpp
+++ b/src/fairness/chain_order.hpp
@@ -1,5 +1,5 @@
-// What a job inherits from the unfinished jobs that need it: their rank and, passed backwards along
-// the chain, the time by which it should be complete. Pure.
+// What a job inherits from the unfinished jobs that need it: their priority and, passed backwards
+// along the chain, the time by which it should be complete. Pure.
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include <functional>
@@ -16,13 +16,13 @@
 
 // What is known of a job by itself.
 struct chain_member {
-    priority rank = priority::normal;
+    priority_class priority = priority_class::normal;
     std::optional<due_times> due;
     double duration_s = 0; // estimated, from its readiness to its end
 };
 
 struct inherited {
-    priority rank = priority::low;
+    priority_class priority = priority_class::low;
     std::optional<due_times> due;
     // Takes what the job's dependent, as it stands, asks of it.
     void merge(const chain_member &dependent);
--- a/src/fairness/team_order.hpp
+++ b/src/fairness/team_order.hpp
@@ -1,4 +1,4 @@
-// In which order a team's jobs of one rank are served while not all can run at once.
+// In which order a team's jobs of one priority are served while not all can run at once.
 #pragma once
 #include <cstddef>
 #include <cstdint>
--- a/src/membership/cancel_exchange.cpp
+++ b/src/membership/cancel_exchange.cpp
@@ -61,12 +61,12 @@
                                                double sent_at) {
     bool same = a.incarnation == q.incarnation;
     if (q.incarnation != incarnation_ || q.after != after_)
-        throw wire::bad_message("cancels: an answer to an earlier question");
+        throw wire::malformed_message("cancels: an answer to an earlier question");
     if (a.incarnation.empty() || a.after != (same ? q.after : 0) || a.upto < a.after ||
         a.newest < a.upto) {
         incarnation_.clear(); // asked anew from the beginning
         after_ = 0;
-        throw wire::bad_message("cancels: the answer contradicts the question or itself");
+        throw wire::malformed_message("cancels: the answer contradicts the question or itself");
     }
     incarnation_ = a.incarnation;
     after_ = a.upto;
@@ -82,7 +82,7 @@
     return a.entries;
 }
 
-// Guards against ran_cancelled where the leader cannot read the state service: it would keep
+// Guards against ran_cancelled where the leader cannot read the key-value store: it would keep
 // renewing the leases of tasks whose cancel another controller has accepted. In an outage nobody
 // can accept a cancel, the others say so, and running work goes on.
 double cancels_known_until(double now, double fresh_at,
--- a/src/membership/cancel_exchange.hpp
+++ b/src/membership/cancel_exchange.hpp
@@ -1,9 +1,9 @@
-// Cancels travel between controllers by name, so that a leader that cannot read the state service
+// Cancels travel between controllers by name, so that a leader that cannot read the key-value store
 // still obeys those which other controllers confirmed. Pure: no I/O, time comes in.
 //
 // Each controller keeps a log of the cancels that it knows to be durable: those it confirms itself,
-// entered after the state service took them and before the user is told, and those it learns from
-// the state service. The leader asks each other controller for what is new; an answer that leaves
+// entered after the key-value store took them and before the user is told, and those it learns from
+// the key-value store. The leader asks each other controller for what is new; an answer that leaves
 // nothing out makes all known that this controller can have told a user before the question was
 // sent.
 #pragma once
@@ -20,7 +20,7 @@
 struct cancel_question {
     std::string incarnation;    // the run of the other controller that `after` belongs to
     std::uint64_t after = 0;    // number of the last entry that arrived
-    std::uint64_t revision = 0; // the leader has read the state service up to this revision
+    std::uint64_t revision = 0; // the leader has read the key-value store up to this revision
     bool operator==(const cancel_question &) const = default;
 };
 
@@ -42,7 +42,7 @@
     // A cancel that is durable. Knowing it already changes nothing.
     void note(const cancel_notice &n);
     cancel_answer answer(const cancel_question &q) const;
-    // Whoever leads has read the state service up to here: older entries are of no more use.
+    // Whoever leads has read the key-value store up to here: older entries are of no more use.
     void forget_upto(std::uint64_t revision);
     std::size_t size() const { return entries_.size(); }
 
--- a/src/membership/promises.cpp
+++ b/src/membership/lease_votes.cpp
@@ -1,4 +1,4 @@
-#include "membership/promises.hpp"
+#include "membership/lease_votes.hpp"
 #include "constants.hpp"
 #include <algorithm>
 #include <vector>
@@ -7,10 +7,10 @@
 
 namespace c = constants;
 
-promise_book::promise_book(double started_at, double blackout_s)
+vote_ledger::vote_ledger(double started_at, double blackout_s)
     : blackout_until_(started_at + blackout_s) {}
 
-bool promise_book::grant(const std::string &to, double length_s, double now) {
+bool vote_ledger::grant(const std::string &to, double length_s, double now) {
     if (in_blackout(now))
         return false;
     if (now < until_ && holder_ != to)
@@ -20,7 +20,7 @@
     return true;
 }
 
-void promise_book::release(const std::string &to) {
+void vote_ledger::release(const std::string &to) {
     if (holder_ == to)
         until_ = -1;
 }
@@ -34,8 +34,8 @@
     return sent_at + length_s * (1 - 2 * c::clock_drift) - c::authority_margin_s;
 }
 
-void authority::promised(const std::string &by, double sent_at, double length_s) {
-    auto &until = promises_[by];
+void authority::vote_granted(const std::string &by, double sent_at, double length_s) {
+    auto &until = votes_[by];
     until = std::max(until, safe_end(sent_at, length_s));
 }
 
@@ -44,13 +44,13 @@
 }
 
 void authority::clear() {
-    promises_.clear();
+    votes_.clear();
     lease_until_ = -1;
 }
 
 bool authority::majority(double now) const {
     std::size_t live = 0;
-    for (auto &[by, until] : promises_)
+    for (auto &[by, until] : votes_)
         if (now < until)
             ++live;
     return live * 2 > controllers_;
@@ -58,7 +58,7 @@
 
 double authority::valid_until(double now) const {
     std::vector<double> ends;
-    for (auto &[by, until] : promises_)
+    for (auto &[by, until] : votes_)
         ends.push_back(until);
     std::sort(ends.rbegin(), ends.rend());
     std::size_t need = controllers_ / 2 + 1;
--- a/src/membership/promises.hpp
+++ b/src/membership/lease_votes.hpp
@@ -1,9 +1,9 @@
 // Who may act for the controllers, and until when. Pure: time comes in.
 //
-// A leader is valid while EITHER its lease at the state service OR promises of a majority of
-// controllers are live. To become leader one needs BOTH: the leader key free at the state service
-// and promises of a majority. So two leaders can't be valid at once: the key is free only when the
-// old one's lease ended, and a majority that promises to the new one leaves the old one without.
+// A leader is valid while EITHER its lease at the key-value store OR votes of a majority of
+// controllers are live. To become leader one needs BOTH: the leader key free at the key-value store
+// and votes of a majority. So two leaders can't be valid at once: the key is free only when the
+// old one's lease ended, and a majority that votes to the new one leaves the old one without.
 #pragma once
 #include <map>
 #include <string>
@@ -11,17 +11,17 @@
 
 namespace spindlecroft::membership {
 
-// One controller's own promises to others (and to itself).
-class promise_book {
+// One controller's own votes to others (and to itself).
+class vote_ledger {
   public:
-    // A restarted controller doesn't remember what it promised, so it promises nothing until
-    // every earlier promise must have ended.
-    promise_book(double started_at, double blackout_s);
+    // A restarted controller doesn't remember what it promised, so it votes nothing until
+    // every earlier vote must have ended.
+    vote_ledger(double started_at, double blackout_s);
     // Promises to support nobody but `to` until now + length_s.
     bool grant(const std::string &to, double length_s, double now);
     void release(const std::string &to);
     bool in_blackout(double now) const { return now < blackout_until_; }
-    // Whom the live promise is given to; empty: nobody.
+    // Whom the live vote is given to; empty: nobody.
     std::string holder(double now) const { return now < until_ ? holder_ : std::string(); }
 
   private:
@@ -35,7 +35,7 @@
   public:
     authority(std::string self, std::size_t controllers);
     // Times given are those at which the request was sent, which is never too late.
-    void promised(const std::string &by, double sent_at, double length_s);
+    void vote_granted(const std::string &by, double sent_at, double length_s);
     void lease_renewed(double sent_at, double length_s);
     void lease_ended() { lease_until_ = -1; }
     void clear();
@@ -48,12 +48,12 @@
   private:
     std::string self_;
     std::size_t controllers_;
-    std::map<std::string, double> promises_;
+    std::map<std::string, double> votes_;
     double lease_until_ = -1;
 };
 
-// Whether a node should send users elsewhere: it is without the state service while another has it,
-// or hears nobody at all and so can't tell. In an outage for all, everybody stays.
+// Whether a node should send users elsewhere: it is without the key-value store while another has
+// it, or hears nobody at all and so can't tell. In an outage for all, everybody stays.
 bool better_served_elsewhere(double state_silence_s, bool state_served_elsewhere, bool alone);
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -12,12 +12,13 @@
 
 static constexpr const char *leader_key = "leader";
 
-member::member(net::asio::io_context &io, const settings::settings &s, store::state_client &state)
+member::member(net::asio::io_context &io, const settings::settings &s,
+               store::key_value_client &state)
     : io_(io), settings_(s), state_(state), random_(std::random_device()()),
       incarnation_(fmt::format("{}#{:08x}", s.node, random_())),
-      book_(now_s(), s.members.empty()
-                         ? 0
-                         : c::promise_s * (1 + 2 * c::clock_drift) + c::authority_margin_s),
+      votes_given_(now_s(), s.members.empty() ? 0
+                                              : c::vote_length_s * (1 + 2 * c::clock_drift) +
+                                                    c::authority_margin_s),
       authority_(s.node, s.members.size() + 1),
       cancels_(incarnation_, c::cancels_kept, c::cancels_per_answer), wake_(io) {
     for (auto &m : s.members) {
@@ -42,16 +43,16 @@
 std::string member::leader_hint() const {
     if (leading())
         return settings_.node;
-    if (now_s() - hint_at_ < c::promise_s)
+    if (now_s() - hint_at_ < c::vote_length_s)
         return hint_;
     return key_holder_ == settings_.node ? std::string() : key_holder_;
 }
 
-void member::resign(const char *why) {
-    if (!leader_ || resigned_)
+void member::step_down(const char *why) {
+    if (!leader_ || stepped_down_)
         return;
     spdlog::warn("giving up leadership: {}", why);
-    resigned_ = true;
+    stepped_down_ = true;
     wake_.notify();
 }
 
@@ -90,27 +91,27 @@
     auto kind = m.text("kind");
     wire::peer_message out;
     if (kind == "release") {
-        book_.release(as);
+        votes_given_.release(as);
     } else if (kind == "promise") {
-        bool granted = book_.grant(as, static_cast<double>(m.number("ms")) / 1000.0, now);
+        bool granted = votes_given_.grant(as, static_cast<double>(m.number("ms")) / 1000.0, now);
         out.numbers["granted"] = granted;
         if (granted && m.text("role") == "leader") {
             hint_ = from;
             hint_at_ = now;
         }
-        if (!granted && m.text("role") == "leader" && !book_.in_blackout(now))
-            spdlog::debug("no promise to {}: given to {}", as, book_.holder(now));
+        if (!granted && m.text("role") == "leader" && !votes_given_.in_blackout(now))
+            spdlog::debug("no promise to {}: given to {}", as, votes_given_.holder(now));
     }
-    // A leader without the state service, or its workers, asks whether another could be chosen:
-    // this controller must know by the next question whether the state service answers it.
+    // A leader without the key-value store, or its workers, asks whether another could be chosen:
+    // this controller must know by the next question whether the key-value store answers it.
     if (m.number("wants_word") && now - records().fresh_at > c::leader_renew_s)
         want_read();
     out.numbers["state_ok"] = state_.serving(now);
     out.numbers["reports_age_ms"] =
-        static_cast<std::uint64_t>(std::min(1e6, (now - last_report_) * 1000));
+        static_cast<std::uint64_t>(std::min(1e6, (now - last_heartbeat_) * 1000));
     if (m.texts.count("cancels_run"))
         answer_cancels(m, out, now);
-    out.texts["holder"] = book_.holder(now);
+    out.texts["holder"] = votes_given_.holder(now);
     for (auto &p : peers_)
         if (p->name == from) {
             p->heard_at = now;
@@ -135,7 +136,8 @@
     auto question = p.cancels.question(records().revision);
     if (!candidate) {
         double now = now_s();
-        m.numbers["wants_word"] = !state_.serving(now) || now - last_report_ > c::resign_deaf_s / 2;
+        m.numbers["wants_word"] =
+            !state_.serving(now) || now - last_heartbeat_ > c::step_down_unheard_s / 2;
         m.texts["cancels_run"] = question.incarnation;
         m.numbers["cancels_after"] = question.after;
         m.numbers["cancels_revision"] = question.revision;
@@ -154,16 +156,16 @@
         auto a = wire::parse_peer(r.body);
         p.heard_at = now_s();
         p.state_ok = a.number("state_ok") != 0;
-        p.reports_age = static_cast<double>(a.number("reports_age_ms", 1000000)) / 1000.0;
-        // A promise to an earlier candidacy doesn't count, and none revives a leader that lapsed.
+        p.heartbeat_age_s = static_cast<double>(a.number("reports_age_ms", 1000000)) / 1000.0;
+        // A vote to an earlier candidacy doesn't count, and none revives a leader that lapsed.
         if (a.number("granted") && candidacy == candidacy_ &&
             (candidate || authority_.valid(now_s())))
-            authority_.promised(p.name, sent, length_s);
+            authority_.vote_granted(p.name, sent, length_s);
         wake_.notify();
         if (!candidate)
             take_cancels(p, question, a, sent);
         p.complaint.clear();
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         if (p.complaint != e.what()) // once, not each round
             spdlog::warn("{}: {}: counts as not heard", p.name, e.what());
         p.complaint = e.what();
@@ -209,7 +211,7 @@
 
 awaitable<void> member::release_all() {
     // Only this candidacy is released: the message may arrive late, when there is a newer one.
-    book_.release(candidacy_);
+    votes_given_.release(candidacy_);
     wire::peer_message m;
     m.texts = {{"kind", "release"}, {"from", settings_.node}, {"as", candidacy_}};
     auto body = wire::encode_peer(m);
@@ -230,7 +232,7 @@
         co_await follow();
         if (stopping_)
             co_return;
-        co_await stand();
+        co_await campaign();
         if (leader_)
             co_await lead();
     }
@@ -242,7 +244,7 @@
     while (!stopping_) {
         double now = now_s();
         if (!since) {
-            auto i = co_await state_.get(leader_key, store::urgency::leadership);
+            auto i = co_await state_.get(leader_key, store::request_priority::leadership);
             if (!i) {
                 co_await wake_.wait_for(c::state_retry_s);
                 continue;
@@ -250,13 +252,13 @@
             if (!i->found) {
                 key_holder_.clear();
                 now = now_s();
-                if (now < no_stand_until_ || book_.in_blackout(now)) {
+                if (now < no_campaign_until_ || votes_given_.in_blackout(now)) {
                     co_await wake_.wait_for(0.2);
                     continue;
                 }
                 // Spread those who saw the same end; whoever promised to another waits longer.
                 boost::random::uniform_real_distribution<double> jitter(0, c::candidacy_jitter_s);
-                auto holder = book_.holder(now);
+                auto holder = votes_given_.holder(now);
                 co_await net::sleep_s(holder.empty() || holder == candidacy_
                                           ? jitter(random_)
                                           : 0.2 + jitter(random_));
@@ -264,14 +266,14 @@
             }
             try {
                 key_holder_ = wire::parse_leader(i->kv.value).node;
-            } catch (const wire::bad_message &) {
+            } catch (const wire::malformed_message &) {
                 key_holder_.clear();
             }
             since = i->kv.version;
         }
         bool gone = false;
         auto w = co_await state_.watch(leader_key, *since, c::watch_hold_ms,
-                                       store::urgency::leadership, gone);
+                                       store::request_priority::leadership, gone);
         if (!w || !w->items.empty())
             since.reset();
         else
@@ -281,13 +283,13 @@
     }
 }
 
-awaitable<void> member::stand() {
+awaitable<void> member::campaign() {
     authority_.clear();
-    candidacy_ = fmt::format("{}#{}", incarnation_, ++stands_);
+    candidacy_ = fmt::format("{}#{}", incarnation_, ++campaigns_);
     double now = now_s();
-    if (!book_.grant(candidacy_, c::candidacy_s, now))
+    if (!votes_given_.grant(candidacy_, c::candidacy_s, now))
         co_return;
-    authority_.promised(settings_.node, now, c::candidacy_s);
+    authority_.vote_granted(settings_.node, now, c::candidacy_s);
     for (auto &p : peers_)
         net::spawn(io_, ask(*p, c::candidacy_s, true), "ask " + p->name);
     double limit = now + c::peer_timeout_s;
@@ -312,18 +314,19 @@
     std::vector<txn_condition> when{{leader_key, 0}};
     std::vector<txn_op> ops{{leader_key, value, *lease}};
     net::permission permitted = [this] { return authority_.majority(now_s()); };
-    auto t = co_await state_.commit(when, ops, store::urgency::leadership, std::move(permitted));
+    auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
+                                    std::move(permitted));
     std::uint64_t version = 0;
     if (t.how == store::txn_outcome::committed) {
         version = t.revision;
     } else if (t.how == store::txn_outcome::unknown) {
         // It may have been executed, or may yet be; only our own key counts.
-        auto i = co_await state_.get(leader_key, store::urgency::leadership);
+        auto i = co_await state_.get(leader_key, store::request_priority::leadership);
         if (i && i->found && i->kv.lease == *lease)
             version = i->kv.version;
     }
     now = now_s();
-    // The promises must still hold now that the key is ours: else the former leader may have got
+    // The votes must still hold now that the key is ours: else the former leader may have got
     // them back in between.
     if (!version || !authority_.majority(now)) {
         authority_.clear();
@@ -334,10 +337,10 @@
     lease_ = *lease;
     token_ = version;
     authority_.lease_renewed(lease_sent, c::leader_lease_s);
-    book_.grant(candidacy_, c::promise_s, now);
-    authority_.promised(settings_.node, now, c::promise_s);
+    votes_given_.grant(candidacy_, c::vote_length_s, now);
+    authority_.vote_granted(settings_.node, now, c::vote_length_s);
     leader_ = true;
-    resigned_ = false;
+    stepped_down_ = false;
     raise_wanted_ = check_wanted_ = false;
     key_holder_ = settings_.node;
     state_.leading(true);
@@ -356,12 +359,12 @@
     renewing_ = false;
     if (!leader_ || lease != lease_)
         co_return;
-    if (r == store::state_client::renewal::ok)
+    if (r == store::key_value_client::renewal::ok)
         authority_.lease_renewed(sent, c::leader_lease_s);
-    else if (r == store::state_client::renewal::ended) {
-        // The key is gone and with it every write: others may stand as soon as promises end.
+    else if (r == store::key_value_client::renewal::ended) {
+        // The key is gone and with it every write: others may stand as soon as votes end.
         authority_.lease_ended();
-        resign("its lease at the state service ended");
+        step_down("its lease at the state service ended");
     }
 }
 
@@ -373,12 +376,13 @@
     std::vector<txn_condition> when{{leader_key, token_}};
     std::vector<txn_op> ops{{leader_key, value, lease_}};
     net::permission permitted = [this] { return leading(); };
-    auto t = co_await state_.commit(when, ops, store::urgency::leadership, std::move(permitted));
+    auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
+                                    std::move(permitted));
     std::uint64_t version = 0;
     if (t.how == store::txn_outcome::committed) {
         version = t.revision; // its condition held, so nothing raised the token meanwhile
     } else if (t.how == store::txn_outcome::unknown || t.how == store::txn_outcome::conflict) {
-        auto i = co_await state_.get(leader_key, store::urgency::leadership);
+        auto i = co_await state_.get(leader_key, store::request_priority::leadership);
         if (i && i->found && i->kv.lease == lease_)
             version = i->kv.version;
     }
@@ -403,27 +407,27 @@
         co_return;
     raising_ = true;
     auto lease = lease_;
-    auto i = co_await state_.get(leader_key, store::urgency::leadership);
+    auto i = co_await state_.get(leader_key, store::request_priority::leadership);
     raising_ = false;
     if (!i || !leader_ || lease != lease_)
         co_return;
     if (i->found && i->kv.lease == lease_)
         take_token(i->kv.version);
     else
-        resign("the leader key is not ours any more");
+        step_down("the leader key is not ours any more");
 }
 
-// A leader cut from the state service or the workers gives way to a controller that is not.
+// A leader cut from the key-value store or the workers steps down to a controller that is not.
 bool member::better_elsewhere(double now) {
-    // Guards against an outage without a leader: only a controller that the state service answers
+    // Guards against an outage without a leader: only a controller that the key-value store answers
     // can be chosen, and its word must be fresh, for the service may by now be gone for all.
-    double blind = state_.silence(now), deaf = now - last_report_;
+    double blind = state_.silence(now), deaf = now - last_heartbeat_;
     for (auto &p : peers_) {
         if (p->heard_at < 0 || now - p->heard_at > c::fresh_word_s || !p->state_ok)
             continue;
-        if (blind > c::resign_blind_s)
+        if (blind > c::step_down_store_silence_s)
             return true;
-        if (last_report_ > 0 && deaf > c::resign_deaf_s && p->reports_age < 3.0)
+        if (last_heartbeat_ > 0 && deaf > c::step_down_unheard_s && p->heartbeat_age_s < 3.0)
             return true;
     }
     return false;
@@ -431,8 +435,8 @@
 
 awaitable<void> member::lead() {
     double next_round = 0, started = now_s();
-    last_report_ = started;
-    while (!stopping_ && !resigned_) {
+    last_heartbeat_ = started;
+    while (!stopping_ && !stepped_down_) {
         double now = now_s();
         if (!authority_.valid(now)) {
             spdlog::warn("leadership lapsed");
@@ -441,14 +445,14 @@
         if (now >= next_round) {
             next_round = now + c::leader_renew_s;
             net::spawn(io_, renew_lease(), "renew");
-            if (book_.grant(candidacy_, c::promise_s, now))
-                authority_.promised(settings_.node, now, c::promise_s);
+            if (votes_given_.grant(candidacy_, c::vote_length_s, now))
+                authority_.vote_granted(settings_.node, now, c::vote_length_s);
             for (auto &p : peers_)
-                net::spawn(io_, ask(*p, c::promise_s, false), "ask " + p->name);
+                net::spawn(io_, ask(*p, c::vote_length_s, false), "ask " + p->name);
         }
         if (better_elsewhere(now)) {
-            no_stand_until_ = now + c::resign_pause_s;
-            resign("another controller is better placed");
+            no_campaign_until_ = now + c::step_down_pause_s;
+            step_down("another controller is better placed");
             break;
         }
         if (check_wanted_ && !raising_) {
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,10 +1,10 @@
-// This controller's part in choosing a leader: promises, the leader key, and standing for it.
+// This controller's part in choosing a leader: votes, the leader key, and standing for it.
 #pragma once
 #include "membership/cancel_exchange.hpp"
-#include "membership/promises.hpp"
+#include "membership/lease_votes.hpp"
 #include "net/http.hpp"
 #include "settings/settings.hpp"
-#include "store/state_client.hpp"
+#include "store/key_value_client.hpp"
 #include <boost/random/mersenne_twister.hpp>
 #include <functional>
 
@@ -12,7 +12,7 @@
 
 class member {
   public:
-    member(net::asio::io_context &io, const settings::settings &s, store::state_client &state);
+    member(net::asio::io_context &io, const settings::settings &s, store::key_value_client &state);
 
     // The long-lived duty: follows the leader key, stands when it is free, leads while entitled.
     net::awaitable<void> run();
@@ -21,9 +21,9 @@
     // Checked right before every answer and order.
     bool leading() const;
     std::uint64_t token() const { return token_; }
-    // Whom reports should go to, as far as known; empty: unknown.
+    // Whom heartbeats should go to, as far as known; empty: unknown.
     std::string leader_hint() const;
-    void resign(const char *why);
+    void step_down(const char *why);
     // Raises the token within this leadership.
     void want_raise() { raise_wanted_ = true; }
     // The leader key has another version than our token: it is read again.
@@ -34,7 +34,7 @@
 
     // A message from another controller.
     std::string on_message(const std::string &body);
-    // Another controller said of late that the state service answers it.
+    // Another controller said of late that the key-value store answers it.
     bool state_served_elsewhere() const;
     // No other controller was heard from for so long, though there are others.
     bool alone_for(double s) const;
@@ -42,7 +42,7 @@
     void note_cancel(const cancel_notice &n) { cancels_.note(n); }
     // The time up to which no controller can have told a user of a cancel that is not known here.
     double cancels_known_until() const;
-    void note_report() { last_report_ = net::now_s(); }
+    void note_heartbeat() { last_heartbeat_ = net::now_s(); }
 
     // What this controller has read of the jobs' records.
     struct records_view {
@@ -65,14 +65,14 @@
         std::string name;
         std::unique_ptr<net::client> client;
         bool state_ok = false;
-        double reports_age = 1e9;
+        double heartbeat_age_s = 1e9;
         double heard_at = -1;
         cancel_reader cancels;
         bool busy = false;
         std::string complaint; // the last one that was logged
     };
     net::awaitable<void> follow();
-    net::awaitable<void> stand();
+    net::awaitable<void> campaign();
     net::awaitable<void> lead();
     net::awaitable<void> ask(peer_state &p, double length_s, bool candidate);
     net::awaitable<void> release_all();
@@ -87,23 +87,23 @@
 
     net::asio::io_context &io_;
     const settings::settings &settings_;
-    store::state_client &state_;
+    store::key_value_client &state_;
     boost::random::mt19937 random_;
     std::string incarnation_; // this run of this controller
     std::string candidacy_;   // this candidacy of this run, and the leadership that follows
-    std::uint64_t stands_ = 0;
-    promise_book book_;
+    std::uint64_t campaigns_ = 0;
+    vote_ledger votes_given_;
     authority authority_;
     std::vector<std::unique_ptr<peer_state>> peers_;
-    bool leader_ = false, stopping_ = false, resigned_ = false, raise_wanted_ = false;
+    bool leader_ = false, stopping_ = false, stepped_down_ = false, raise_wanted_ = false;
     bool check_wanted_ = false;
     bool renewing_ = false, raising_ = false;
     std::uint64_t token_ = 0, lease_ = 0, raises_ = 0;
     std::string key_holder_; // node named by the leader key, as last read
-    std::string hint_;       // node that asks for promises as leader
+    std::string hint_;       // node that asks for votes as leader
     double hint_at_ = -1e9;
-    double no_stand_until_ = 0;
-    double last_report_ = -1e9;
+    double no_campaign_until_ = 0;
+    double last_heartbeat_ = -1e9;
     cancel_log cancels_;
     net::signal wake_;
 };
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -87,7 +87,7 @@
     return v;
 }
 
-// The limits that the state service will have from some moment on, without notice.
+// The limits that the key-value store will have from some moment on, without notice.
 void read_coming_limits(settings &s, const toml::table &next) {
     const std::string prefix = "cluster.state.next";
     s.value_kb = std::min(s.value_kb, number_at(next, "value_kb", prefix, 2, s.value_kb));
@@ -192,7 +192,7 @@
         }
     }
     const auto &workers = table_at(cluster, "workers", "cluster");
-    s.report_s = number_at(workers, "report_s", "cluster.workers", 0.1);
+    s.heartbeat_interval_s = number_at(workers, "report_s", "cluster.workers", 0.1);
     s.lease_s = number_at(workers, "lease_s", "cluster.workers", 1);
     s.cancel_s = number_at(workers, "cancel_s", "cluster.workers", 1);
     const auto &state = table_at(cluster, "state", "cluster");
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -55,7 +55,7 @@
     double time_bound_s = 0;
     std::vector<team> teams;
     std::vector<objective> objectives;
-    double report_s = 0, lease_s = 0, cancel_s = 0;
+    double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
     double state_rps = 0, state_write_rps = 0;
     // The smaller of the present and the coming limit: what is written stays within both.
     double value_kb = 0;
@@ -68,7 +68,7 @@
     operator_options ops;
 
     const team *find_team(const std::string &name) const;
-    // The longest value that the state service takes, with some room for how it counts.
+    // The longest value that the key-value store takes, with some room for how it counts.
     std::size_t value_bytes() const;
 };
 
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -15,7 +15,7 @@
     for (std::size_t i = 0; i < order.size(); ++i)
         order[i] = i;
     std::stable_sort(order.begin(), order.end(),
-                     [&](auto a, auto b) { return waiting[a].rank < waiting[b].rank; });
+                     [&](auto a, auto b) { return waiting[a].priority < waiting[b].priority; });
     std::vector<std::size_t> chosen;
     std::set<std::string> keys;
     int ops = 0;
@@ -25,8 +25,8 @@
     for (auto i : order) {
         auto &u = waiting[i];
         // What nobody waits for does not make a transaction larger that somebody waits for.
-        if (u.rank == urgency::rest && !chosen.empty() &&
-            waiting[order.front()].rank != urgency::rest)
+        if (u.priority == request_priority::rest && !chosen.empty() &&
+            waiting[order.front()].priority != request_priority::rest)
             break;
         std::size_t size = 0;
         for (auto &o : u.ops)
@@ -56,8 +56,8 @@
     return chosen;
 }
 
-committer::committer(net::asio::io_context &io, state_client &state, const settings::settings &s,
-                     std::string name)
+committer::committer(net::asio::io_context &io, key_value_client &state,
+                     const settings::settings &s, std::string name)
     : state_(state), settings_(s), name_(std::move(name)), wake_(io) {}
 
 bool committer::full() const {
@@ -157,7 +157,7 @@
             }
             t.ops.push_back(o);
         }
-        t.rank = std::min(t.rank, u.rank);
+        t.priority = std::min(t.priority, u.priority);
     }
     t.conditions.reserve(versions.size() + 1);
     for (auto &[key, version] : versions)
@@ -182,7 +182,7 @@
 
 awaitable<committer::next_step> committer::send_once(transaction &t, std::vector<unit> &batch) {
     net::permission may_send = [this] { return permitted(); };
-    auto answer = co_await state_.commit(t.conditions, t.ops, t.rank, std::move(may_send));
+    auto answer = co_await state_.commit(t.conditions, t.ops, t.priority, std::move(may_send));
     switch (answer.how) {
     case txn_outcome::committed:
         on_committed(batch, answer.revision);
@@ -226,7 +226,8 @@
     if (t.unsure || !permitted())
         return again_if_permitted(batch);
     drop_given_up(batch, net::now_s());
-    std::stable_sort(batch.begin(), batch.end(), [](auto &a, auto &b) { return a.rank < b.rank; });
+    std::stable_sort(batch.begin(), batch.end(),
+                     [](auto &a, auto &b) { return a.priority < b.priority; });
     while (batch.size() > t.kept_after_refusal) {
         waiting_.push_front(std::move(batch.back()));
         batch.pop_back();
@@ -289,7 +290,7 @@
     }
     if (t.fence && failed.count(t.fence->key))
         co_return co_await on_fence_failed(t, batch);
-    co_await drop_conflicting(t.rank, failed, batch);
+    co_await drop_conflicting(t.priority, failed, batch);
     co_return next_step::settled;
 }
 
@@ -301,7 +302,7 @@
     if (written == t.ops.end())
         co_return own_copy{true, 0}; // deletions of keys that nobody else writes
     for (;;) {
-        auto i = co_await state_.get(written->key, t.rank);
+        auto i = co_await state_.get(written->key, t.priority);
         if (i) {
             bool applied = i->found && wire::same_json(i->kv.value, written->value);
             co_return own_copy{applied, applied ? i->kv.version : 0};
@@ -328,7 +329,8 @@
 }
 
 // Units whose conditions failed are told; the rest is tried again without them.
-awaitable<void> committer::drop_conflicting(urgency rank, const std::set<std::string> &failed,
+awaitable<void> committer::drop_conflicting(request_priority priority,
+                                            const std::set<std::string> &failed,
                                             std::vector<unit> &batch) {
     std::vector<unit> rest, hit;
     for (auto &u : std::exchange(batch, {})) {
@@ -345,14 +347,14 @@
     for (auto &u : hit)
         for (auto &o : u.ops)
             if (u.owned && failed.count(o.key))
-                co_await read_version(o.key, rank);
+                co_await read_version(o.key, priority);
     tell(hit, unit_outcome::conflict);
     batch = std::move(rest);
 }
 
 // Our idea of an owned key's version was wrong: it is read for the next try.
-awaitable<void> committer::read_version(const std::string &key, urgency rank) {
-    auto i = co_await state_.get(key, rank);
+awaitable<void> committer::read_version(const std::string &key, request_priority priority) {
+    auto i = co_await state_.get(key, priority);
     if (i && i->found)
         versions_[key] = i->kv.version;
     else if (i)
