--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -1,7 +1,7 @@
 // Group commit: changes that arrive close together share a transaction. One transaction is open at
 // a time, so that a change of unknown outcome is settled before the next one.
 #pragma once
-#include "store/state_client.hpp"
+#include "store/key_value_client.hpp"
 #include <deque>
 #include <functional>
 #include <map>
@@ -14,13 +14,13 @@
     committed,
     conflict,
     lost,
-    too_large, // for the state service, however it is split
+    too_large, // for the key-value store, however it is split
 };
 
 struct unit {
     std::vector<txn_condition> when; // on keys that others write too
     std::vector<txn_op> ops;
-    urgency rank = urgency::rest;
+    request_priority priority = request_priority::rest;
     bool owned = false;    // keys without a condition are ours alone; their versions are known here
     double give_up_at = 0; // s; not sent any more from then on; 0: never given up
     std::function<void(unit_outcome, std::uint64_t revision)> result;
@@ -34,7 +34,7 @@
 class committer {
   public:
     // fence: a condition put on every transaction (key and version), e.g. of leadership.
-    committer(net::asio::io_context &io, state_client &state, const settings::settings &s,
+    committer(net::asio::io_context &io, key_value_client &state, const settings::settings &s,
               std::string name);
     bool full() const;
     void submit(unit u);
@@ -44,7 +44,7 @@
     void stop();
 
     std::function<std::optional<txn_condition>()> fence; // nothing: not entitled
-    std::function<void()> fence_failed; // its key has another version at the state service
+    std::function<void()> fence_failed; // its key has another version at the key-value store
     void set_version(const std::string &key, std::uint64_t version);
 
   private:
@@ -52,7 +52,7 @@
         std::vector<txn_condition> conditions;
         std::vector<txn_op> ops;
         std::optional<txn_condition> fence;
-        urgency rank = urgency::rest;
+        request_priority priority = request_priority::rest;
         bool unsure = false;                // a copy of it may have been, or may yet be, executed
         std::size_t kept_after_refusal = 0; // units
     };
@@ -80,17 +80,18 @@
     net::awaitable<next_step> on_conflict(const transaction &t, const std::set<std::string> &failed,
                                           std::vector<unit> &batch);
     net::awaitable<next_step> on_fence_failed(const transaction &t, std::vector<unit> &batch);
-    net::awaitable<void> drop_conflicting(urgency rank, const std::set<std::string> &failed,
+    net::awaitable<void> drop_conflicting(request_priority priority,
+                                          const std::set<std::string> &failed,
                                           std::vector<unit> &batch);
     // Nothing: the permission ended before it was found.
     net::awaitable<std::optional<own_copy>> find_own_copy(const transaction &t);
-    net::awaitable<void> read_version(const std::string &key, urgency rank);
+    net::awaitable<void> read_version(const std::string &key, request_priority priority);
     // Gives every unit of the batch its outcome and empties it.
     static void tell(std::vector<unit> &batch, unit_outcome how, std::uint64_t revision = 0);
     bool permitted() const; // to send a transaction now
     static void drop_given_up(auto &units, double now);
     void note(const txn_op &o, std::uint64_t revision);
-    state_client &state_;
+    key_value_client &state_;
     const settings::settings &settings_;
     std::string name_;
     net::signal wake_;
--- a/src/store/state_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "store/state_client.hpp"
+#include "store/key_value_client.hpp"
 #include "constants.hpp"
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 namespace c = constants;
 using net::awaitable;
 
-bool budget::take(double n, urgency u, double now) {
+bool budget::take(double n, request_priority u, double now) {
     if (last_ >= 0)
         tokens_ = std::min(burst_, tokens_ + (now - last_) * rate_);
     last_ = now;
@@ -23,18 +23,18 @@
     return true;
 }
 
-state_client::state_client(net::asio::io_context &io, const settings::settings &s)
+key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &s)
     : client_(io, s.state, 8), settings_(s), requests_(1), writes_(1),
       write_rate_(s.state_write_rps, s.next_state_write_rps), last_ok_(net::now_s()) {
     leading(false);
 }
 
-void state_client::leading(bool yes) {
+void key_value_client::leading(bool yes) {
     leading_ = yes;
     set_rates();
 }
 
-void state_client::set_rates() {
+void key_value_client::set_rates() {
     bool yes = leading_;
     // All nodes together stay below the limits; the leader's part is the larger one.
     auto others = static_cast<double>(std::max<std::size_t>(1, settings_.members.size()));
@@ -49,17 +49,17 @@
     writes_.set_rate(std::max(2.0, c::state_share * write_rate_.limit() * share));
 }
 
-bool write_line::may_go(ticket t, urgency u, double now) const {
-    if (u <= urgency::cancel || waiting_.empty() || waiting_.front() == *t)
+bool write_line::may_go(ticket t, request_priority u, double now) const {
+    if (u <= request_priority::cancel || waiting_.empty() || waiting_.front() == *t)
         return true;
     return now - waiting_.front() <= constants::write_patience_s;
 }
 
-urgency write_line::rank_of(ticket t, urgency u, double now) const {
-    return now - *t > constants::write_patience_s ? std::min(u, urgency::cancel) : u;
+request_priority write_line::priority_of(ticket t, request_priority u, double now) const {
+    return now - *t > constants::write_patience_s ? std::min(u, request_priority::cancel) : u;
 }
 
-awaitable<void> state_client::admit(urgency u, double writes) {
+awaitable<void> key_value_client::admit(request_priority u, double writes) {
     struct place {
         std::shared_ptr<write_line> line;
         write_line::ticket ticket;
@@ -73,19 +73,19 @@
     for (;;) {
         double now = net::now_s();
         // Leadership is never made to wait by our own bookkeeping.
-        if (u == urgency::leadership) {
+        if (u == request_priority::leadership) {
             requests_.take(1, u, now);
             writes_.take(writes, u, now);
             co_return;
         }
-        auto rank = u;
+        auto priority = u;
         bool turn = true;
         if (in_line) {
-            rank = line_->rank_of(in_line->ticket, u, now);
+            priority = line_->priority_of(in_line->ticket, u, now);
             turn = line_->may_go(in_line->ticket, u, now);
         }
-        if (turn && (writes <= 0 || writes_.take(writes, rank, now))) {
-            while (!requests_.take(1, rank, net::now_s()))
+        if (turn && (writes <= 0 || writes_.take(writes, priority, now))) {
+            while (!requests_.take(1, priority, net::now_s()))
                 co_await net::sleep_s(0.02);
             co_return;
         }
@@ -93,9 +93,9 @@
     }
 }
 
-awaitable<net::reply> state_client::call(std::string method, std::string target, std::string body,
-                                         double timeout, urgency u, double writes,
-                                         net::permission permitted) {
+awaitable<net::reply> key_value_client::call(std::string method, std::string target,
+                                             std::string body, double timeout, request_priority u,
+                                             double writes, net::permission permitted) {
     co_await admit(u, writes);
     ++requests;
     this->writes += static_cast<std::uint64_t>(writes);
@@ -118,7 +118,7 @@
     co_return r;
 }
 
-void state_client::on_too_many_writes() {
+void key_value_client::on_too_many_writes() {
     if (write_rate_.refused(net::now_s())) {
         spdlog::info("the state service allows {} changes a second now", write_rate_.limit());
         set_rates();
@@ -126,11 +126,12 @@
     writes_.drain();
 }
 
-bool state_client::serving(double now) const {
+bool key_value_client::serving(double now) const {
     return !failed_since_ok_ && silence(now) < c::served_s;
 }
 
-awaitable<std::optional<state_client::item>> state_client::get(std::string key, urgency u) {
+awaitable<std::optional<key_value_client::item>> key_value_client::get(std::string key,
+                                                                       request_priority u) {
     auto r = co_await call("GET", "/kv/" + key, "", c::state_timeout_s, u);
     item i;
     try {
@@ -143,13 +144,14 @@
             i.at.revision = wire::parse_revision(r.body);
             co_return i;
         }
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("state service: {}", e.what());
     }
     co_return std::nullopt;
 }
 
-awaitable<std::optional<wire::range_answer>> state_client::list(std::string prefix, urgency u) {
+awaitable<std::optional<wire::range_answer>> key_value_client::list(std::string prefix,
+                                                                    request_priority u) {
     wire::range_answer all;
     std::string after;
     for (;;) {
@@ -167,7 +169,7 @@
             if (!page.more || page.items.empty())
                 co_return all;
             after = all.items.back().key;
-        } catch (const wire::bad_message &e) {
+        } catch (const wire::malformed_message &e) {
             spdlog::warn("state service: {}", e.what());
             co_return std::nullopt;
         }
@@ -175,7 +177,8 @@
 }
 
 awaitable<std::optional<wire::range_answer>>
-state_client::watch(std::string prefix, std::uint64_t since, int hold_ms, urgency u, bool &gone) {
+key_value_client::watch(std::string prefix, std::uint64_t since, int hold_ms, request_priority u,
+                        bool &gone) {
     gone = false;
     auto r = co_await call("GET", wire::watch_target(prefix, since, hold_ms), "",
                            c::state_timeout_s + hold_ms / 1000.0, u);
@@ -185,14 +188,15 @@
         co_return std::nullopt;
     try {
         co_return wire::parse_watch(r.body);
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("state service: {}", e.what());
         co_return std::nullopt;
     }
 }
 
-awaitable<txn_result> state_client::commit(std::vector<txn_condition> when, std::vector<txn_op> ops,
-                                           urgency u, net::permission permitted) {
+awaitable<txn_result> key_value_client::commit(std::vector<txn_condition> when,
+                                               std::vector<txn_op> ops, request_priority u,
+                                               net::permission permitted) {
     auto n = static_cast<double>(ops.size());
     auto r = co_await call("POST", "/commit", wire::encode_txn(when, ops), c::state_timeout_s, u, n,
                            std::move(permitted));
@@ -222,29 +226,29 @@
             t.how =
                 r.status == 429 || r.status == 503 ? txn_outcome::refused : txn_outcome::unknown;
         }
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("state service: {}", e.what());
         t.how = txn_outcome::unknown;
     }
     co_return t;
 }
 
-awaitable<std::optional<std::uint64_t>> state_client::new_lease(double ttl_s) {
+awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(double ttl_s) {
     auto r = co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl_s * 1000)),
-                           c::state_timeout_s, urgency::leadership);
+                           c::state_timeout_s, request_priority::leadership);
     if (!r.ok())
         co_return std::nullopt;
     try {
         co_return wire::parse_lease(r.body);
-    } catch (const wire::bad_message &e) {
+    } catch (const wire::malformed_message &e) {
         spdlog::warn("state service: {}", e.what());
         co_return std::nullopt;
     }
 }
 
-awaitable<state_client::renewal> state_client::renew(std::uint64_t lease) {
+awaitable<key_value_client::renewal> key_value_client::renew(std::uint64_t lease) {
     auto r = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}", c::leader_renew_s,
-                           urgency::leadership);
+                           request_priority::leadership);
     if (r.ok())
         co_return renewal::ok;
     if (r.how == net::outcome::answered && r.status == 404)
@@ -252,9 +256,9 @@
     co_return renewal::unsure;
 }
 
-awaitable<void> state_client::end_lease(std::uint64_t lease) {
+awaitable<void> key_value_client::end_lease(std::uint64_t lease) {
     co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::state_timeout_s,
-                  urgency::leadership);
+                  request_priority::leadership);
 }
 
 } // namespace spindlecroft::store
--- a/src/store/state_client.hpp
+++ b/src/store/key_value_client.hpp
@@ -1,4 +1,5 @@
-// The client of the state service: a request budget with priorities, and the calls of its protocol.
+// The client of the key-value store: a request budget with priorities, and the calls of its
+// protocol.
 #pragma once
 #include "net/http.hpp"
 #include "store/write_rate.hpp"
@@ -10,7 +11,7 @@
 namespace spindlecroft::store {
 
 // Who goes first when the budget is short.
-enum class urgency { leadership, cancel, accept, placement, done, rest };
+enum class request_priority { leadership, cancel, accept, placement, done, rest };
 
 // A budget that refills with time; lower urgencies leave a reserve for higher ones. Pure.
 class budget {
@@ -19,7 +20,7 @@
         tokens_ = burst_;
     }
     // Takes n if allowed; otherwise returns false and takes nothing.
-    bool take(double n, urgency u, double now);
+    bool take(double n, request_priority u, double now);
     void set_rate(double per_s) { rate_ = per_s, burst_ = per_s; }
     void drain() { tokens_ = 0; } // the service refused: others used it up
 
@@ -34,9 +35,9 @@
     using ticket = std::list<double>::iterator;
     ticket enter(double now) { return waiting_.insert(waiting_.end(), now); }
     void leave(ticket t) { waiting_.erase(t); }
-    bool may_go(ticket t, urgency u, double now) const;
+    bool may_go(ticket t, request_priority u, double now) const;
     // Who has waited long takes from the reserve of the more urgent.
-    urgency rank_of(ticket t, urgency u, double now) const;
+    request_priority priority_of(ticket t, request_priority u, double now) const;
 
   private:
     std::list<double> waiting_; // since when, s
@@ -50,10 +51,10 @@
     std::string error;
 };
 
-class state_client {
+class key_value_client {
   public:
-    state_client(net::asio::io_context &io, const settings::settings &s);
-    virtual ~state_client() = default; // tests put a stand-in in its place
+    key_value_client(net::asio::io_context &io, const settings::settings &s);
+    virtual ~key_value_client() = default; // tests put a stand-in in its place
 
     // Each returns nothing when the service did not answer as expected.
     struct item {
@@ -61,14 +62,15 @@
         wire::range_answer at; // revision when not found
         kv_item kv;
     };
-    virtual net::awaitable<std::optional<item>> get(std::string key, urgency u);
-    virtual net::awaitable<std::optional<wire::range_answer>> list(std::string prefix, urgency u);
+    virtual net::awaitable<std::optional<item>> get(std::string key, request_priority u);
+    virtual net::awaitable<std::optional<wire::range_answer>> list(std::string prefix,
+                                                                   request_priority u);
     // status 410: nothing, with gone set.
     virtual net::awaitable<std::optional<wire::range_answer>>
-    watch(std::string prefix, std::uint64_t since, int hold_ms, urgency u, bool &gone);
+    watch(std::string prefix, std::uint64_t since, int hold_ms, request_priority u, bool &gone);
     // permitted: asked right before the transaction is sent; if not, it counts as refused.
     virtual net::awaitable<txn_result> commit(std::vector<txn_condition> when,
-                                              std::vector<txn_op> ops, urgency u,
+                                              std::vector<txn_op> ops, request_priority u,
                                               net::permission permitted = {});
     virtual net::awaitable<std::optional<std::uint64_t>> new_lease(double ttl_s);
     enum class renewal { ok, ended, unsure };
@@ -85,9 +87,9 @@
     std::uint64_t requests = 0, writes = 0;
 
   private:
-    net::awaitable<void> admit(urgency u, double writes);
+    net::awaitable<void> admit(request_priority u, double writes);
     net::awaitable<net::reply> call(std::string method, std::string target, std::string body,
-                                    double timeout, urgency u, double writes = 0,
+                                    double timeout, request_priority u, double writes = 0,
                                     net::permission permitted = {});
     net::client client_;
     const settings::settings &settings_;
--- a/src/store/write_rate.hpp
+++ b/src/store/write_rate.hpp
@@ -1,4 +1,4 @@
-// The changes a second that the state service allows: the present limit, until refusals show that
+// The changes a second that the key-value store allows: the present limit, until refusals show that
 // the coming one is in force. Pure.
 #pragma once
 #include <optional>
@@ -8,7 +8,8 @@
 class write_rate {
   public:
     // next: a smaller limit that comes without notice; nothing: none does.
-    write_rate(double present, std::optional<double> next) : limit_(present), next_(next) {}
+    write_rate(double possibly_running, std::optional<double> next)
+        : limit_(possibly_running), next_(next) {}
     double limit() const { return limit_; }
     // The service refused a change because there were too many. True: the limit is smaller now, for
     // good.
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 [[noreturn]] void fail(const char *field, const char *what) {
-    throw bad_message(fmt::format("{}: {}", field, what));
+    throw malformed_message(fmt::format("{}: {}", field, what));
 }
 
 json::value parse_any(const std::string &body) {
@@ -24,14 +24,14 @@
     o.max_depth = 16;
     auto v = json::parse(body, ec, {}, o);
     if (ec)
-        throw bad_message("body: not JSON");
+        throw malformed_message("body: not JSON");
     return v;
 }
 
 json::object parse_object(const std::string &body) {
     auto v = parse_any(body);
     if (!v.is_object())
-        throw bad_message("body: not an object");
+        throw malformed_message("body: not an object");
     return std::move(v.as_object());
 }
 
@@ -125,16 +125,16 @@
     index = static_cast<std::uint32_t>(n);
 }
 
-json::object orders_object(std::uint64_t token, const std::vector<order> &orders) {
+json::object commands_object(std::uint64_t token, const std::vector<command> &commands) {
     json::array a;
-    for (const auto &x : orders) {
+    for (const auto &x : commands) {
         json::object o;
-        o["verb"] = x.kind == order_kind::start  ? "start"
-                    : x.kind == order_kind::stop ? "kill"
-                                                 : "reap";
+        o["verb"] = x.kind == command_kind::start  ? "start"
+                    : x.kind == command_kind::stop ? "kill"
+                                                   : "reap";
         o["thread"] = x.job + "/" + std::to_string(x.index);
         o["try"] = x.attempt;
-        if (x.kind == order_kind::stop)
+        if (x.kind == command_kind::stop)
             o["slackS"] = x.grace_s;
         a.push_back(std::move(o));
     }
@@ -151,7 +151,7 @@
     o["lot"] = s.job_class;
     o["crew"] = s.team;
     o["shape"] = s.shape == job_shape::array ? "array" : "standing";
-    o["rank"] = ranks[static_cast<int>(s.rank)];
+    o["rank"] = ranks[static_cast<int>(s.priority)];
     o["threads"] = s.tasks;
     o["cores"] = s.cpus;
     o["gpus"] = s.gpus;
@@ -166,12 +166,12 @@
     }
     if (s.zone)
         o["croft"] = *s.zone;
-    o["samePlace"] = s.one_zone;
+    o["samePlace"] = s.same_zone;
     o["scatter"] = s.spread;
     o["loaners"] = s.spot;
     o["reckonS"] = s.estimate_s;
-    o["knotS"] = s.checkpoint_s;
-    o["tieS"] = s.save_s;
+    o["knotS"] = s.checkpoint_interval_s;
+    o["tieS"] = s.checkpoint_duration_s;
     if (s.deadline_s)
         o["dueS"] = *s.deadline_s;
     if (!s.predecessors.empty())
@@ -206,15 +206,15 @@
         s.shape = job_shape::service;
     else
         fail("shape", "must be array or standing");
-    auto rank = text(o, "rank");
-    if (rank == "critical")
-        s.rank = priority::critical;
-    else if (rank == "urgent")
-        s.rank = priority::high;
-    else if (rank == "standard")
-        s.rank = priority::normal;
-    else if (rank == "idle")
-        s.rank = priority::low;
+    auto priority = text(o, "rank");
+    if (priority == "critical")
+        s.priority = priority_class::critical;
+    else if (priority == "urgent")
+        s.priority = priority_class::high;
+    else if (priority == "standard")
+        s.priority = priority_class::normal;
+    else if (priority == "idle")
+        s.priority = priority_class::low;
     else
         fail("rank", "must be critical, urgent, standard or idle");
     auto n = count(o, "threads");
@@ -237,12 +237,12 @@
     }
     if (find(o, "croft"))
         s.zone = text(o, "croft");
-    s.one_zone = flag_or(o, "samePlace", false);
+    s.same_zone = flag_or(o, "samePlace", false);
     s.spread = flag_or(o, "scatter", false);
     s.spot = flag_or(o, "loaners", false);
     s.estimate_s = amount_or(o, "reckonS", 0);
-    s.checkpoint_s = amount_or(o, "knotS", 0);
-    s.save_s = amount_or(o, "tieS", 0);
+    s.checkpoint_interval_s = amount_or(o, "knotS", 0);
+    s.checkpoint_duration_s = amount_or(o, "tieS", 0);
     if (find(o, "dueS"))
         s.deadline_s = amount(o, "dueS");
     if (find(o, "awaits"))
@@ -272,15 +272,15 @@
     return true;
 }
 
-std::string_view stage_word(job_stage s) {
+std::string_view state_word(job_state s) {
     switch (s) {
-    case job_stage::pending:
+    case job_state::pending:
         return "pending";
-    case job_stage::running:
+    case job_state::running:
         return "running";
-    case job_stage::done:
+    case job_state::done:
         return "done";
-    case job_stage::cancelled:
+    case job_state::cancelled:
         return "aborted";
     }
     return "pending";
@@ -293,17 +293,17 @@
     return json::serialize(spec_object(s));
 }
 
-std::string encode_accepted(const std::string &id, job_stage stage) {
+std::string encode_accepted(const std::string &id, job_state state) {
     json::object o;
     o["uid"] = id;
-    o["stage"] = stage_word(stage);
+    o["stage"] = state_word(state);
     return json::serialize(o);
 }
 
 std::string encode_status(const job_status &s) {
     json::object o;
     o["uid"] = s.id;
-    o["stage"] = stage_word(s.stage);
+    o["stage"] = state_word(s.state);
     o["done"] = s.done;
     o["running"] = s.running;
     return json::serialize(o);
@@ -315,23 +315,23 @@
     return json::serialize(o);
 }
 
-worker_report parse_report(const std::string &body) {
+heartbeat parse_heartbeat(const std::string &body) {
     auto o = parse_object(body);
-    worker_report r;
+    heartbeat r;
     r.machine = text(o, "spindle");
     r.address = text(o, "address");
     r.type = text(o, "frame");
     r.zone = text(o, "croft");
     r.spot = flag_or(o, "loaners", false);
-    r.session = count(o, "shift");
-    r.seq = count(o, "tally");
+    r.incarnation = count(o, "shift");
+    r.sequence = count(o, "tally");
     r.token = count(o, "warrant");
     if (find(o, "recallS"))
-        r.notice_s = amount(o, "recallS");
+        r.reclaim_notice_s = amount(o, "recallS");
     if (find(o, "threads"))
         for (auto &v : list(o, "threads")) {
             auto &t = object_of(v, "threads");
-            task_report x;
+            task_status x;
             split_task(text(t, "thread"), x.job, x.index);
             x.attempt = count(t, "try");
             auto state = text(t, "stage");
@@ -340,7 +340,7 @@
             else if (state == "running")
                 x.state = task_state::running;
             else if (state == "flushing")
-                x.state = task_state::saving;
+                x.state = task_state::checkpointing;
             else if (state == "exited")
                 x.state = task_state::exited;
             else
@@ -354,21 +354,21 @@
                           : cause == "in_use"  ? exit_cause::busy
                           : cause == "no_such" ? exit_cause::unknown
                                                : exit_cause::error;
-                x.saved = flag_or(t, "kept", false);
+                x.checkpointed = flag_or(t, "kept", false);
             }
             r.tasks.push_back(std::move(x));
         }
     return r;
 }
 
-std::string encode_orders(std::uint64_t token, const std::vector<order> &orders) {
-    return json::serialize(orders_object(token, orders));
+std::string encode_heartbeat_answer(std::uint64_t token, const std::vector<command> &commands) {
+    return json::serialize(commands_object(token, commands));
 }
 
-std::string encode_commands(std::uint64_t token, std::uint64_t session,
-                            const std::vector<order> &orders) {
-    auto o = orders_object(token, orders);
-    o["shift"] = session;
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
+                                   const std::vector<command> &commands) {
+    auto o = commands_object(token, commands);
+    o["shift"] = incarnation;
     return json::serialize(o);
 }
 
@@ -379,7 +379,7 @@
     return json::serialize(o);
 }
 
-std::vector<machine_type> parse_types(const std::string &body) {
+std::vector<machine_type> parse_machine_types(const std::string &body) {
     auto o = parse_object(body);
     std::vector<machine_type> out;
     for (auto &v : list(o, "frames")) {
@@ -404,7 +404,7 @@
     return out;
 }
 
-std::string encode_types(const std::vector<machine_type> &types) {
+std::string encode_machine_types(const std::vector<machine_type> &types) {
     json::array a;
     for (auto &m : types) {
         json::object o;
@@ -428,7 +428,7 @@
     return json::serialize(out);
 }
 
-std::string encode_rental(const rental &r) {
+std::string encode_rental_request(const rental_request &r) {
     json::object o;
     o["hire"] = r.request;
     o["frame"] = r.type;
@@ -438,7 +438,7 @@
     return json::serialize(o);
 }
 
-std::vector<std::string> parse_rented(const std::string &body) {
+std::vector<std::string> parse_rented_machines(const std::string &body) {
     auto o = parse_object(body);
     std::vector<std::string> out;
     for (auto &v : list(o, "spindles")) {
@@ -449,7 +449,7 @@
     return out;
 }
 
-std::string encode_delete(const std::vector<std::string> &machines) {
+std::string encode_deletion(const std::vector<std::string> &machines) {
     json::array a;
     for (auto &m : machines)
         a.emplace_back(m);
@@ -458,21 +458,21 @@
     return json::serialize(o);
 }
 
-host_page parse_hosts(const std::string &body) {
+listed_machine_page parse_machine_list(const std::string &body) {
     auto o = parse_object(body);
-    host_page p;
+    listed_machine_page p;
     for (auto &v : list(o, "spindles")) {
         auto &t = object_of(v, "spindles");
-        host h;
+        listed_machine h;
         h.id = text(t, "uid");
         h.address = find(t, "address") ? text(t, "address") : "";
         h.type = text(t, "frame");
         h.zone = text(t, "croft");
         h.spot = flag_or(t, "loaners", false);
         auto s = text(t, "stage");
-        h.state = s == "running"  ? host::stage::running
-                  : s == "failed" ? host::stage::failed
-                                  : host::stage::booting;
+        h.state = s == "running"  ? machine_state::running
+                  : s == "failed" ? machine_state::failed
+                                  : machine_state::booting;
         h.age_s = amount_or(t, "heldS", 0);
         p.hosts.push_back(std::move(h));
     }
@@ -480,7 +480,7 @@
     return p;
 }
 
-std::string hosts_target(const std::string &after, int limit) {
+std::string machine_list_target(const std::string &after, int limit) {
     if (after.empty())
         return fmt::format("/hosts?most={}", limit);
     return fmt::format("/hosts?since={}&most={}", after, limit);
@@ -619,7 +619,7 @@
 
 std::string encode_ended(const ended_record &r) {
     json::object o;
-    o["stage"] = stage_word(r.stage);
+    o["stage"] = state_word(r.state);
     o["done"] = r.done;
     if (r.at > 0)
         o["at"] = r.at; // versions before 0.5 pass over it
@@ -629,8 +629,8 @@
 ended_record parse_ended(const std::string &value) {
     auto o = parse_object(value);
     ended_record r;
-    r.stage =
-        text(o, "stage") == stage_word(job_stage::done) ? job_stage::done : job_stage::cancelled;
+    r.state =
+        text(o, "stage") == state_word(job_state::done) ? job_state::done : job_state::cancelled;
     r.done = static_cast<std::uint32_t>(count(o, "done"));
     r.at = amount_or(o, "at", 0);
     return r;
@@ -767,7 +767,7 @@
     return json::serialize(o);
 }
 
-std::size_t rental_bytes(const rental &r) {
+std::size_t rental_bytes(const rental_request &r) {
     if (r.request.empty())
         return encode_rental_record({}).size() + 24; // the time, in digits
     // Quotes, commas and brackets, the flag and a count of a few digits.
@@ -835,11 +835,11 @@
     cbor_load_result result;
     cbor_item_t *item = cbor_load(reinterpret_cast<cbor_data>(body.data()), body.size(), &result);
     if (!item)
-        throw bad_message("peer: not CBOR");
+        throw malformed_message("peer: not CBOR");
     std::unique_ptr<cbor_item_t, void (*)(cbor_item_t *)> guard(
         item, [](cbor_item_t *i) { cbor_decref(&i); });
     if (!cbor_isa_map(item))
-        throw bad_message("peer: not a map");
+        throw malformed_message("peer: not a map");
     auto is_text = [](cbor_item_t *i) { return cbor_isa_string(i) && cbor_string_is_definite(i); };
     auto text = [](cbor_item_t *i) {
         return std::string(reinterpret_cast<char *>(cbor_string_handle(i)), cbor_string_length(i));
@@ -850,7 +850,7 @@
         auto *k = pairs[i].key;
         auto *v = pairs[i].value;
         if (!is_text(k))
-            throw bad_message("peer: keys must be texts");
+            throw malformed_message("peer: keys must be texts");
         auto key = text(k);
         if (cbor_isa_uint(v)) {
             m.numbers[key] = cbor_get_int(v);
@@ -858,22 +858,24 @@
             m.texts[key] = text(v);
         } else if (key == "cancels") {
             if (!cbor_isa_array(v))
-                throw bad_message("peer: cancels: must be a list");
+                throw malformed_message("peer: cancels: must be a list");
             for (std::size_t n = 0; n < cbor_array_size(v); ++n) {
                 auto *e = cbor_array_handle(v)[n];
                 if (!cbor_isa_array(e) || cbor_array_size(e) != 3)
-                    throw bad_message("peer: cancels: an entry is a job, a revision and a time");
+                    throw malformed_message(
+                        "peer: cancels: an entry is a job, a revision and a time");
                 auto **f = cbor_array_handle(e);
                 if (!is_text(f[0]) || !cbor_isa_uint(f[1]) || !cbor_isa_uint(f[2]))
-                    throw bad_message("peer: cancels: an entry is a job, a revision and a time");
+                    throw malformed_message(
+                        "peer: cancels: an entry is a job, a revision and a time");
                 m.cancels.push_back({text(f[0]), cbor_get_int(f[1]),
                                      static_cast<double>(cbor_get_int(f[2])) / 1000.0});
             }
         }
     }
     if (m.number("version") != peer_version)
-        throw bad_message("peer: version: " + std::to_string(m.number("version")) + ", not " +
-                          std::to_string(peer_version));
+        throw malformed_message("peer: version: " + std::to_string(m.number("version")) + ", not " +
+                                std::to_string(peer_version));
     m.numbers.erase("version");
     return m;
 }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -9,53 +9,53 @@
 namespace spindlecroft::wire {
 
 // A message that cannot be taken; what() names the field.
-class bad_message : public std::runtime_error {
+class malformed_message : public std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // --- paths ---
 inline constexpr const char *path_jobs = "/submissions";
 inline constexpr const char *path_ready = "/ready";
-inline constexpr const char *path_report = "/checkin";
+inline constexpr const char *path_heartbeat = "/checkin";
 inline constexpr const char *path_commands = "/commands";
-inline constexpr const char *path_types = "/machine_types";
-inline constexpr const char *path_hosts = "/hosts";
-inline constexpr const char *path_hosts_delete = "/hosts/delete";
+inline constexpr const char *path_machine_types = "/machine_types";
+inline constexpr const char *path_machines = "/hosts";
+inline constexpr const char *path_delete_machines = "/hosts/delete";
 inline constexpr const char *suffix_cancel = "abort";
 
 // True for ids of the form job-NNN: at most 100 characters of digits, letters, '-' and '_'.
 bool valid_job_id(const std::string &id);
-std::string_view stage_word(job_stage s);
+std::string_view state_word(job_state s);
 
 // --- users ---
 job_spec parse_submission(const std::string &body);
-std::string encode_accepted(const std::string &id, job_stage stage);
+std::string encode_accepted(const std::string &id, job_state state);
 std::string encode_status(const job_status &s);
 std::string encode_error(const std::string &what);
-// The job as kept in the state service: the same fields as a submission.
+// The job as kept in the key-value store: the same fields as a submission.
 std::string encode_spec(const job_spec &s);
 
 // --- workers ---
-worker_report parse_report(const std::string &body);
-std::string encode_orders(std::uint64_t token, const std::vector<order> &orders);
-std::string encode_commands(std::uint64_t token, std::uint64_t session,
-                            const std::vector<order> &orders);
+heartbeat parse_heartbeat(const std::string &body);
+std::string encode_heartbeat_answer(std::uint64_t token, const std::vector<command> &commands);
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
+                                   const std::vector<command> &commands);
 std::string encode_redirect(const std::string &node);
 
 // --- cloud ---
-std::vector<machine_type> parse_types(const std::string &body);
-std::string encode_types(const std::vector<machine_type> &types);
-std::string encode_rental(const rental &r);
-std::vector<std::string> parse_rented(const std::string &body);
-std::string encode_delete(const std::vector<std::string> &machines);
-struct host_page {
-    std::vector<host> hosts;
+std::vector<machine_type> parse_machine_types(const std::string &body);
+std::string encode_machine_types(const std::vector<machine_type> &types);
+std::string encode_rental_request(const rental_request &r);
+std::vector<std::string> parse_rented_machines(const std::string &body);
+std::string encode_deletion(const std::vector<std::string> &machines);
+struct listed_machine_page {
+    std::vector<listed_machine> hosts;
     bool more = false;
 };
-host_page parse_hosts(const std::string &body);
-std::string hosts_target(const std::string &after, int limit);
+listed_machine_page parse_machine_list(const std::string &body);
+std::string machine_list_target(const std::string &after, int limit);
 
-// --- state service ---
+// --- key-value store ---
 struct txn_answer {
     std::uint64_t revision = 0;
     std::vector<std::string> failed;
@@ -79,7 +79,7 @@
 std::string encode_ttl(int ms);
 std::uint64_t parse_lease(const std::string &body);
 
-// --- our records in the state service ---
+// --- our records in the key-value store ---
 struct job_record {
     bool cancelled = false;
     double accepted_at = 0;  // s, time of day
@@ -89,7 +89,7 @@
 std::string encode_job_record(const job_record &r);
 job_record parse_job_record(const std::string &value);
 struct ended_record {
-    job_stage stage = job_stage::done;
+    job_state state = job_state::done;
     std::uint32_t done = 0;
     double at = 0; // s, time of day; 0: unknown, as in records of versions before 0.5
 };
@@ -134,12 +134,12 @@
 // Requests of one round of renting. The cloud gives the same answer to a repeated request, so the
 // machines' names need not be kept.
 struct rental_record {
-    std::vector<rental> requests;
+    std::vector<rental_request> requests;
     double at = 0; // s, time of day
 };
 std::string encode_rental_record(const rental_record &r);
 // What one more request adds to the record, at most; one without a name: the record without any.
-std::size_t rental_bytes(const rental &r);
+std::size_t rental_bytes(const rental_request &r);
 rental_record parse_rental_record(const std::string &value);
 
 // --- between our own processes: CBOR maps of text to integers, texts and lists of cancels ---
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -8,52 +8,52 @@
 namespace spindlecroft {
 
 enum class job_shape { array, service };
-enum class priority { critical, high, normal, low }; // lower value goes first
-enum class job_stage { pending, running, done, cancelled };
+enum class priority_class { critical, high, normal, low }; // lower value goes first
+enum class job_state { pending, running, done, cancelled };
 
 struct job_spec {
     std::string id, job_class, team;
     job_shape shape = job_shape::array;
-    priority rank = priority::normal;
+    priority_class priority = priority_class::normal;
     std::uint32_t tasks = 0;
     double cpus = 0, gpus = 0, memory_gb = 0;
     std::string image;
     double image_gb = 0;
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
-    bool one_zone = false, spread = false, spot = false;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    bool same_zone = false, spread = false, spot = false;
+    double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     std::optional<double> deadline_s;
     std::vector<std::string> predecessors; // jobs that must be done before any task starts
 };
 
-enum class task_state { fetching, running, saving, exited };
+enum class task_state { fetching, running, checkpointing, exited };
 enum class exit_cause { none, done, stopped, error, no_room, busy, unknown };
 
-struct task_report {
+struct task_status {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     task_state state = task_state::fetching;
     exit_cause cause = exit_cause::none;
-    bool saved = false;
+    bool checkpointed = false;
 };
 
-struct worker_report {
+struct heartbeat {
     std::string machine, address, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, seq = 0, token = 0;
-    std::optional<double> notice_s;
-    std::vector<task_report> tasks;
-    // The message with the larger (session, seq) is the newer one.
+    std::uint64_t incarnation = 0, sequence = 0, token = 0;
+    std::optional<double> reclaim_notice_s;
+    std::vector<task_status> tasks;
+    // The message with the larger (incarnation, seq) is the newer one.
     bool newer_than(std::uint64_t s, std::uint64_t q) const {
-        return session > s || (session == s && seq > q);
+        return incarnation > s || (incarnation == s && sequence > q);
     }
 };
 
-enum class order_kind { start, stop, forget };
-struct order {
-    order_kind kind = order_kind::start;
+enum class command_kind { start, stop, remove };
+struct command {
+    command_kind kind = command_kind::start;
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
@@ -67,14 +67,17 @@
     std::vector<std::string> zones;
 };
 
-struct host {
+enum class machine_state { booting, running, failed };
+
+// A machine as the cloud lists it.
+struct listed_machine {
     std::string id, address, type, zone;
     bool spot = false;
-    enum class stage { booting, running, failed } state = stage::booting;
+    machine_state state = machine_state::booting;
     double age_s = 0;
 };
 
-struct rental {
+struct rental_request {
     std::string request, type, zone;
     bool spot = false;
     int count = 0;
@@ -82,11 +85,11 @@
 
 struct job_status {
     std::string id;
-    job_stage stage = job_stage::pending;
+    job_state state = job_state::pending;
     std::uint32_t done = 0, running = 0;
 };
 
-// A cancel that is durable at the state service.
+// A cancel that is durable at the key-value store.
 struct cancel_notice {
     std::string job;
     std::uint64_t revision = 0; // of the job's record that says so
--- a/tests/cancels_test.cpp
+++ b/tests/cancels_test.cpp
@@ -1,5 +1,5 @@
 // Cancels that travel between controllers: the exchange alone, and in a seeded world in which the
-// state service refuses the leader or everybody while users cancel.
+// key-value store refuses the leader or everybody while users cancel.
 #include "constants.hpp"
 #include "membership/cancel_exchange.hpp"
 #include "wire/codec.hpp"
@@ -46,7 +46,7 @@
 TEST(cancels, come_by_name_and_once) {
     exchange x;
     x.log.note({"job-1", 5, 0});
-    x.log.note({"job-1", 5, 0}); // learned from the state service too
+    x.log.note({"job-1", 5, 0}); // learned from the key-value store too
     x.log.note({"job-2", 4, 0});
     EXPECT_EQ(x.ask(10), (list{"job-1", "job-2"}));
     EXPECT_DOUBLE_EQ(x.reader.known_until(), 10);
@@ -97,7 +97,7 @@
         x.log.note({"job-" + std::to_string(i), static_cast<std::uint64_t>(i), 0});
     EXPECT_EQ(x.ask(10), (list{"job-3", "job-4", "job-5"}));
     EXPECT_LT(x.reader.known_until(), 0);
-    // What follows is whole, but only a read of the state service tells of what was given up.
+    // What follows is whole, but only a read of the key-value store tells of what was given up.
     EXPECT_EQ(x.ask(11), list{});
     EXPECT_LT(x.reader.known_until(), 0);
     EXPECT_EQ(x.ask(12, 2), list{});
@@ -113,7 +113,7 @@
     x.loaded = false;
     EXPECT_EQ(x.ask(20), list{});
     EXPECT_DOUBLE_EQ(x.reader.known_until(), 10);
-    x.log.note({"job-7", 8, 0}); // as read from the state service
+    x.log.note({"job-7", 8, 0}); // as read from the key-value store
     x.loaded = true;
     EXPECT_EQ(x.ask(21), list{"job-7"});
     EXPECT_DOUBLE_EQ(x.reader.known_until(), 21);
@@ -132,7 +132,7 @@
         auto a = x.log.answer(q);
         a.loaded = true;
         spoil(a);
-        EXPECT_THROW(reader.take(q, a, 20), wire::bad_message);
+        EXPECT_THROW(reader.take(q, a, 20), wire::malformed_message);
         EXPECT_DOUBLE_EQ(reader.known_until(), 10);
         // The next question begins anew and is answered in full.
         auto again = reader.question(0);
@@ -143,7 +143,7 @@
     }
     // An answer to a question that was asked before the last one arrived.
     auto late = x.log.answer({});
-    EXPECT_THROW(x.reader.take({}, late, 30), wire::bad_message);
+    EXPECT_THROW(x.reader.take({}, late, 30), wire::malformed_message);
 }
 
 TEST(cancels, survive_the_wire_and_another_version_is_refused) {
@@ -153,16 +153,16 @@
     EXPECT_EQ(wire::parse_peer(text).cancels, m.cancels);
     auto other = text;
     other[other.find("version") + 7] = 3;
-    EXPECT_THROW(wire::parse_peer(other), wire::bad_message);
+    EXPECT_THROW(wire::parse_peer(other), wire::malformed_message);
     // What is cut short or bent anywhere is read or refused, never worse.
     for (std::size_t i = 0; i < text.size(); ++i) {
-        EXPECT_THROW(wire::parse_peer(text.substr(0, i)), wire::bad_message);
+        EXPECT_THROW(wire::parse_peer(text.substr(0, i)), wire::malformed_message);
         for (char bent : {'\x00', '\x7f', '\x83', '\xff'}) {
             auto t = text;
             t[i] = bent;
             try {
                 wire::parse_peer(t);
-            } catch (const wire::bad_message &) {
+            } catch (const wire::malformed_message &) {
             }
         }
     }
@@ -212,20 +212,21 @@
     }
     // One peer can't be heard since: only the read counts.
     EXPECT_DOUBLE_EQ(known(130, fresh, {heard_at(129), heard_at(99)}), fresh);
-    // Another has read the state service since, and told all that it held: that counts as well.
+    // Another has read the key-value store since, and told all that it held: that counts as well.
     EXPECT_NEAR(known(130, fresh, {heard_at(129, 4), heard_at(99)}), 125, 0.2);
 }
 
 namespace {
 
-// A leader, other controllers, workers and the state service, by the pages that describe them. The
-// leader leads throughout (who leads is tested elsewhere); it may lose the state service, single
-// controllers and its workers.
+// A leader, other controllers, workers and the key-value store, by the pages that describe them.
+// The leader leads throughout (who leads is tested elsewhere); it may lose the key-value store,
+// single controllers and its workers.
 struct cancel_world {
-    static constexpr double lease_s = 26.5, cancel_s = 51.5, report_s = 5.0, step_s = 0.05;
+    static constexpr double lease_s = 26.5, cancel_s = 51.5, heartbeat_interval_s = 5.0,
+                            step_s = 0.05;
 
     struct job {
-        double told_at = -1; // s; when its user was told of the cancel
+        double announced_at = -1; // s; when its user was told of the cancel
         std::uint64_t revision = 0;
         bool known = false; // to the leader
         double known_at = 0, lease_from = 0, next_report = 0;
@@ -322,7 +323,7 @@
             nodes[i].log->note({id, jobs.at(id).revision, 0});
             if (i == 0)
                 learn(id);
-            at(now + 0.001, [this, id] { jobs.at(id).told_at = now; });
+            at(now + 0.001, [this, id] { jobs.at(id).announced_at = now; });
             ++cancelled;
         });
     }
@@ -375,7 +376,7 @@
             return;
         }
         if (now >= j.next_report) {
-            j.next_report = now + real(0.75, 1.25) * report_s;
+            j.next_report = now + real(0.75, 1.25) * heartbeat_interval_s;
             if (now >= mute_until && membership::may_renew(now, known_until(), lease_s, cancel_s)) {
                 j.lease_from = now;
                 if (j.known) {
@@ -388,9 +389,9 @@
         if (j.known && now - j.known_at > constants::cancel_delete_share * cancel_s &&
             now >= cloud_down_until)
             j.there = false, j.killed = true;
-        if (j.told_at >= 0 && j.there && now > j.told_at + cancel_s)
+        if (j.announced_at >= 0 && j.there && now > j.announced_at + cancel_s)
             broken.push_back(fmt::format("{:.1f}: {} still there, told at {:.1f}, {}", now, id,
-                                         j.told_at, j.known ? "known" : "unknown"));
+                                         j.announced_at, j.known ? "known" : "unknown"));
     }
 
     void run(double until) {
@@ -424,8 +425,8 @@
 
 } // namespace
 
-// The gap: the state service refuses the leader alone, others confirm cancels, then it is gone for
-// all and for longer than cancel_s. Cancelled tasks go in time, and nothing else does.
+// The gap: the key-value store refuses the leader alone, others confirm cancels, then it is gone
+// for all and for longer than cancel_s. Cancelled tasks go in time, and nothing else does.
 TEST_P(cancel_worlds, the_gap_costs_only_what_was_cancelled) {
     cancel_world w(GetParam(), 40);
     w.run(110);
--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -1,4 +1,4 @@
-// Stand-ins for what surrounds controllers on loopback: the state service, users and a worker by
+// Stand-ins for what surrounds controllers on loopback: the key-value store, users and a worker by
 // PROTOCOL, and a cluster of three controllers in this process. Real time, a few seconds; limits
 // are generous so that a busy machine only makes it slower.
 #pragma once
@@ -22,8 +22,8 @@
     return {"127.0.0.1", a.local_endpoint().port()};
 }
 
-// Keys, revisions, leases and watches of the state service. Each controller has a door of its own,
-// so that one can be refused alone.
+// Keys, revisions, leases and watches of the key-value store. Each controller has a door of its
+// own, so that one can be refused alone.
 struct state_service {
     struct kept {
         json::value data;
@@ -311,26 +311,26 @@
     }
 };
 
-// A worker that reports to whoever answers it, and executes what it is told.
+// A worker that heartbeats to whoever answers it, and executes what it is told.
 struct reporting_worker {
     explicit reporting_worker(controllers &around) : c(around) {}
     controllers &c;
     std::size_t node = 0;
     std::uint64_t tally = 0, warrant = 0;
     struct task {
-        std::string stage = "running", cause;
+        std::string state = "running", cause;
     };
     std::map<std::pair<std::string, std::uint64_t>, task> tasks; // by task and attempt
     int answers = 0;
     std::vector<std::string> started;       // in this order
     std::vector<std::string> started_twice; // while the task was here in another attempt
 
-    // One report; true if it was answered by an entitled node.
+    // One heartbeat; true if it was answered by an entitled node.
     bool report() {
         json::array threads;
         for (auto &[t, here] : tasks) {
-            json::object o{{"thread", t.first}, {"try", t.second}, {"stage", here.stage}};
-            if (here.stage == "exited")
+            json::object o{{"thread", t.first}, {"try", t.second}, {"stage", here.state}};
+            if (here.state == "exited")
                 o["cause"] = here.cause;
             threads.push_back(o);
         }
@@ -366,21 +366,21 @@
         if (tasks.count(key))
             return;
         for (auto &[t, here] : tasks)
-            if (t.first == key.first && here.stage == "running")
+            if (t.first == key.first && here.state == "running")
                 started_twice.push_back(key.first);
         started.push_back(key.first);
         tasks[key] = {};
     }
     bool runs(const std::string &job) const {
         for (auto &[t, here] : tasks)
-            if (t.first == job + "/0" && here.stage == "running")
+            if (t.first == job + "/0" && here.state == "running")
                 return true;
         return false;
     }
     // The running task of the job is done.
     void finish(const std::string &job) {
         for (auto &[t, here] : tasks)
-            if (t.first == job + "/0" && here.stage == "running")
+            if (t.first == job + "/0" && here.state == "running")
                 here = {"exited", "done"};
     }
 };
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// Three controllers in one process, on loopback, against a stand-in of the state service that can
+// Three controllers in one process, on loopback, against a stand-in of the key-value store that can
 // refuse one of them or all, and a worker and users by PROTOCOL.
 #include "cluster_stand_ins.hpp"
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 using namespace spindlecroft;
 using namespace spindlecroft::test;
 
-// The gap, end to end: the state service refuses the leader alone, another controller confirms a
+// The gap, end to end: the key-value store refuses the leader alone, another controller confirms a
 // cancel, then the service is gone for all. The worker keeps reporting to the leader.
 TEST(controllers, a_cancel_confirmed_elsewhere_reaches_a_blind_leader_by_name) {
     cluster c;
@@ -31,7 +31,7 @@
         },
         15));
     EXPECT_LT(net::now_s() - told, 10);
-    // The service is out: no controller answers from old knowledge, and nobody gives way.
+    // The service is out: no controller answers from old knowledge, and nobody steps down.
     for (std::size_t i = 0; i < 3; ++i)
         EXPECT_EQ(c.poll(i, "job-1"), "503");
     double until = net::now_s() + 6;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -60,22 +60,22 @@
     auto leader = sample("records/leader.json");
     EXPECT_EQ(wire::encode_leader(wire::parse_leader(leader)), leader);
     auto types = sample("records/types.json");
-    EXPECT_EQ(wire::encode_types(wire::parse_types(types)), types);
+    EXPECT_EQ(wire::encode_machine_types(wire::parse_machine_types(types)), types);
 }
 
 // The time of the end is new: production passes over it, and its records lack it.
 TEST(compatibility, ended_records_differ_in_a_field_that_production_passes_over) {
     auto value = sample("records/ended_done.json");
     auto record = wire::parse_ended(value);
-    EXPECT_EQ(record.stage, job_stage::done);
+    EXPECT_EQ(record.state, job_state::done);
     EXPECT_EQ(record.done, 16u);
     EXPECT_EQ(record.at, 0);
     EXPECT_EQ(wire::encode_ended(record), value);
     record.at = 12.5;
     EXPECT_EQ(wire::parse_ended(wire::encode_ended(record)).at, 12.5);
     EXPECT_TRUE(wire::encode_ended(record).starts_with(value.substr(0, value.size() - 1)));
-    EXPECT_EQ(wire::parse_ended(sample("records/ended_cancelled.json")).stage,
-              job_stage::cancelled);
+    EXPECT_EQ(wire::parse_ended(sample("records/ended_cancelled.json")).state,
+              job_state::cancelled);
 }
 
 TEST(compatibility, messages_between_controllers_are_as_before) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
 // Which machines are rented.
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include "trace_runner.hpp"
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 // Thousands of machines are wished for and none is to be had: the first wish may come as many
 // requests for an offer, each later one as a single request.
 TEST(fleet, one_request_asks_for_what_is_sold_out) {
-    control::engine core(test::small_settings(), test::small_types());
+    control::scheduler core(test::small_settings(), test::small_types());
     core.begin(0, 5, 0);
     core.loaded(0);
     core.on_job("job-1", array_of(1000), 7, 0);
@@ -53,7 +53,7 @@
         auto types = test::small_types();
         types[0].boot_s = slow_boot; // one slot
         types[1].boot_s = 40;        // four slots for four times the price
-        control::engine core(test::small_settings(), types);
+        control::scheduler core(test::small_settings(), types);
         core.begin(0, 5, 0);
         core.loaded(0);
         core.on_job("job-1", array_of(1), 7, 0);
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -1,9 +1,9 @@
 // A controller that stood still does nothing on waking that it is not entitled to any more: the
 // permission is asked after the last suspension, right before the first byte goes out.
 #include "constants.hpp"
+#include "key_value_stand_in.hpp"
 #include "membership/member.hpp"
 #include "net/http.hpp"
-#include "state_stand_in.hpp"
 #include "store/committer.hpp"
 #include "trace_runner.hpp"
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
     return {"127.0.0.1", a.local_endpoint().port()};
 }
 
-// Another controller, a worker, the cloud or the state service: counts what reaches it.
+// Another controller, a worker, the cloud or the key-value store: counts what reaches it.
 struct counting_server {
     net::asio::io_context io;
     settings::address at = free_address(io);
@@ -78,15 +78,15 @@
     s.answer = R"({"ledger":7})";
     auto conf = test::small_settings();
     conf.state = s.at;
-    store::state_client state(s.io, conf);
+    store::key_value_client state(s.io, conf);
     bool entitled = true;
     auto commit = [&] {
         std::vector<txn_op> ops{{"p/1", "[1]", 0}};
         store::txn_result out;
         bool done = false;
         auto send = [&]() -> awaitable<void> {
-            out =
-                co_await state.commit({}, ops, store::urgency::placement, [&] { return entitled; });
+            out = co_await state.commit({}, ops, store::request_priority::placement,
+                                        [&] { return entitled; });
             done = true;
         };
         net::spawn(s.io, send(), "commit");
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -1,6 +1,6 @@
 // What a controller knows of dependencies from the records alone, whatever it has missed.
 #include "catalog/job_cache.hpp"
-#include "state_stand_in.hpp"
+#include "key_value_stand_in.hpp"
 #include "trace_runner.hpp"
 #include <gtest/gtest.h>
 
@@ -21,8 +21,8 @@
         r.spec.predecessors = std::move(predecessors);
         state.apply({}, {{"j/a/" + id, wire::encode_job_record(r), 0}});
     }
-    void put_end(const std::string &id, job_stage stage) {
-        state.apply({}, {{"j/e/" + id, wire::encode_ended({stage, 0, 5}), 0}});
+    void put_end(const std::string &id, job_state ended_as) {
+        state.apply({}, {{"j/e/" + id, wire::encode_ended({ended_as, 0, 5}), 0}});
     }
     void run(double s) { io.run_for(net::seconds(s)); }
     bool resolve(const std::string &id) {
@@ -63,8 +63,8 @@
 
 TEST(job_cache, reads_the_ends_that_it_missed) {
     caching c;
-    c.put_end("job-1", job_stage::done);
-    c.put_end("job-2", job_stage::cancelled);
+    c.put_end("job-1", job_state::done);
+    c.put_end("job-2", job_state::cancelled);
     c.put_job("job-3", {"job-1"});
     c.put_job("job-4", {"job-1", "job-2"});
     c.put_job("job-5", {"job-4"});
@@ -79,7 +79,7 @@
 TEST(job_cache, an_end_that_cannot_be_read_resolves_nothing) {
     caching c;
     c.put_job("job-3", {"job-1"});
-    c.put_end("job-1", job_stage::done);
+    c.put_end("job-1", job_state::done);
     c.load();
     c.state.outage = true;
     EXPECT_FALSE(c.resolve("job-3"));
--- a/tests/state_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -1,17 +1,17 @@
-// A state service in memory, by PROTOCOL, in place of the client: it can leave a transaction
+// A key-value store in memory, by PROTOCOL, in place of the client: it can leave a transaction
 // without an answer and carry it out at once, later or never, refuse, or stand still.
 #pragma once
-#include "store/state_client.hpp"
+#include "store/key_value_client.hpp"
 #include <deque>
 #include <functional>
 #include <map>
 
 namespace spindlecroft::test {
 
-class state_stand_in : public store::state_client {
+class state_stand_in : public store::key_value_client {
   public:
     state_stand_in(net::asio::io_context &io, const settings::settings &s)
-        : state_client(io, s), io_(io) {}
+        : key_value_client(io, s), io_(io) {}
 
     enum class fate {
         answered,
@@ -45,7 +45,7 @@
     }
 
     net::awaitable<store::txn_result> commit(std::vector<txn_condition> when,
-                                             std::vector<txn_op> ops, store::urgency,
+                                             std::vector<txn_op> ops, store::request_priority,
                                              net::permission permitted) override {
         co_await net::sleep_s(0.001);
         if (stand_still)
@@ -75,7 +75,7 @@
         co_return t;
     }
 
-    net::awaitable<std::optional<item>> get(std::string key, store::urgency) override {
+    net::awaitable<std::optional<item>> get(std::string key, store::request_priority) override {
         co_await net::sleep_s(0.001);
         if (outage)
             co_return std::nullopt;
@@ -90,7 +90,7 @@
     }
 
     net::awaitable<std::optional<wire::range_answer>> list(std::string prefix,
-                                                           store::urgency) override {
+                                                           store::request_priority) override {
         co_await net::sleep_s(0.001);
         if (outage)
             co_return std::nullopt;
@@ -102,8 +102,8 @@
         co_return a;
     }
 
-    net::awaitable<std::optional<wire::range_answer>> watch(std::string, std::uint64_t since, int,
-                                                            store::urgency, bool &gone) override {
+    net::awaitable<std::optional<wire::range_answer>>
+    watch(std::string, std::uint64_t since, int, store::request_priority, bool &gone) override {
         gone = false;
         co_await net::sleep_s(0.02);
         if (outage)
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,7 +1,7 @@
-// The state service's limits shrink without notice, and what an earlier version wrote is larger.
+// The key-value store's limits shrink without notice, and what an earlier version wrote is larger.
 #include "catalog/cancelled_record.hpp"
 #include "constants.hpp"
-#include "state_stand_in.hpp"
+#include "key_value_stand_in.hpp"
 #include "store/committer.hpp"
 #include "store/write_rate.hpp"
 #include "trace_runner.hpp"
@@ -19,10 +19,9 @@
     return static_cast<std::size_t>(s.value_kb * 1024);
 }
 
-worker_report report_of(const std::string &machine, const std::string &type,
-                        const std::string &zone) {
-    worker_report r{machine, "10.0.0.1:1", type, zone, false, 0, 0, 0, {}, {}};
-    r.session = r.seq = 1;
+heartbeat report_of(const std::string &machine, const std::string &type, const std::string &zone) {
+    heartbeat r{machine, "10.0.0.1:1", type, zone, false, 0, 0, 0, {}, {}};
+    r.incarnation = r.sequence = 1;
     return r;
 }
 
@@ -126,7 +125,7 @@
 TEST(limits, a_large_record_of_done_tasks_is_not_written_again) {
     auto conf = test::small_settings();
     conf.value_kb = 2;
-    control::engine core(conf, test::small_types());
+    control::scheduler core(conf, test::small_types());
     core.begin(0, 5, 0);
     std::vector<wire::done_part> parts;
     for (int n = 0; n < 100; ++n) {
@@ -144,11 +143,11 @@
     core.load_done("4-1", parts);
     core.loaded(0);
     auto r = report_of("i-1", "large", "a");
-    r.session = r.seq = 1;
+    r.incarnation = r.sequence = 1;
     for (int n = 0; n < 100; ++n)
         r.tasks.push_back(
             {fmt::format("job-{}", n), 9, 77, task_state::exited, exit_cause::done, false});
-    core.on_report(r, 1);
+    core.on_heartbeat(r, 1);
     std::set<std::string> told;
     for (double now = 1; now < 20; now += 0.5) {
         core.tick(now);
@@ -169,12 +168,12 @@
     EXPECT_EQ(told.size(), 100u);
 }
 
-// Limits shrink in the middle of a takeover: whatever the next leader writes is within them.
+// Limits shrink in the middle of a failover: whatever the next leader writes is within them.
 TEST(limits, everything_a_leader_writes_is_within_the_smaller_limits) {
     auto conf = test::small_settings();
     conf.value_kb = 2;
     conf.txn_ops = 4;
-    control::engine core(conf, test::small_types());
+    control::scheduler core(conf, test::small_types());
     core.begin(0, 5, 0);
     std::vector<wire::placed_task> placed;
     for (std::uint32_t n = 0; n < 200; ++n)
@@ -190,15 +189,15 @@
     core.load_placed("4-1", placed, 0);
     core.loaded(0);
     std::size_t writes = 0;
-    std::uint64_t seq = 0;
+    std::uint64_t sequence = 0;
     for (double now = 1; now < 60; now += 0.5) {
-        ++seq;
+        ++sequence;
         for (int n = 0; n < 300; ++n) {
             auto r = report_of(fmt::format("i-{}", n), "large", n % 2 ? "a" : "b");
-            r.session = 1;
-            r.seq = seq;
+            r.incarnation = 1;
+            r.sequence = sequence;
             r.token = 5;
-            core.on_report(r, now);
+            core.on_heartbeat(r, now);
         }
         core.tick(now);
         for (auto &w : core.take_writes(now)) {
@@ -220,43 +219,43 @@
     constexpr int machines = 4000;
     auto conf = test::small_settings();
     ASSERT_GE(conf.ops.fleet_limit, machines * 3 / 2);
-    control::engine core(conf, test::small_types());
+    control::scheduler core(conf, test::small_types());
     core.begin(0, 9, 0);
     wire::job_record job;
     job.spec = test::small_job("job-1");
     job.spec.tasks = 2 * machines;
     core.load_job("job-1", job, 1, 0);
-    std::vector<host> hosts;
+    std::vector<listed_machine> hosts;
     std::vector<wire::placed_task> placed;
     auto name = [](int n) { return fmt::format("i-{:06}", n); };
     for (int n = 0; n < machines; ++n) {
         placed.push_back({"job-1", static_cast<std::uint32_t>(n),
                           (5ull << 20) + static_cast<std::uint64_t>(n), name(n)});
         hosts.push_back(
-            {name(n), "10.0.0.1:1", "small", n % 2 ? "a" : "b", true, host::stage::running, 100});
+            {name(n), "10.0.0.1:1", "small", n % 2 ? "a" : "b", true, machine_state::running, 100});
     }
     core.load_placed("5-1", placed, 0);
     core.loaded(0);
-    core.on_hosts(hosts, 0.5, 0.5);
+    core.on_machine_list(hosts, 0.5, 0.5);
     double now = 1;
     std::size_t deleted = 0, started = 0;
-    auto report = [&](int n, std::uint64_t seq) {
+    auto report = [&](int n, std::uint64_t sequence) {
         auto r = report_of(name(n), "small", n % 2 ? "a" : "b");
         r.spot = true;
-        r.session = 1;
-        r.seq = seq;
-        r.token = seq > 1 ? 9 : 5;
+        r.incarnation = 1;
+        r.sequence = sequence;
+        r.token = sequence > 1 ? 9 : 5;
         r.tasks.push_back({"job-1", static_cast<std::uint32_t>(n),
                            (5ull << 20) + static_cast<std::uint64_t>(n), task_state::running,
                            exit_cause::none, false});
-        core.on_report(r, now);
-        for (auto &o : core.orders_in_answer(r.machine, now))
-            started += o.kind == order_kind::start;
-        core.answered(r.machine, control::engine::report_age::fresh, now);
+        core.on_heartbeat(r, now);
+        for (auto &o : core.commands_for_answer(r.machine, now))
+            started += o.kind == command_kind::start;
+        core.answered(r.machine, control::scheduler::heartbeat_age::fresh, now);
     };
-    for (std::uint64_t seq = 1; seq <= 4; ++seq, now += 3) {
+    for (std::uint64_t sequence = 1; sequence <= 4; ++sequence, now += 3) {
         for (int n = 0; n < machines; ++n)
-            report(n, seq);
+            report(n, sequence);
         core.tick(now);
         deleted += core.take_deletions(now).size();
         for (auto &w : core.take_writes(now))
@@ -282,11 +281,11 @@
 TEST(limits, a_placement_write_covers_all_tasks_of_as_many_jobs_as_it_may_name) {
     auto conf = test::small_settings();
     conf.txn_ops = 4;
-    control::engine core(conf, test::small_types());
+    control::scheduler core(conf, test::small_types());
     core.begin(0, 5, 0);
     core.loaded(0);
     for (int n = 0; n < 60; ++n)
-        core.on_report(report_of(fmt::format("i-{}", n), "small", n % 2 ? "a" : "b"), 1);
+        core.on_heartbeat(report_of(fmt::format("i-{}", n), "small", n % 2 ? "a" : "b"), 1);
     for (int n = 0; n < 20; ++n) {
         auto id = fmt::format("job-{}", n);
         wire::job_record r;
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -1,6 +1,6 @@
 // Rounds of bids and worker queues at full size.
 #include "constants.hpp"
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include "trace_runner.hpp"
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 // Machines that have reported, and one array of short tasks that fits on none of them at once.
 struct sweep {
-    control::engine core{test::small_settings(), test::small_types()};
+    control::scheduler core{test::small_settings(), test::small_types()};
     int machines;
 
     sweep(int machine_count, std::uint32_t tasks) : machines(machine_count) {
@@ -28,9 +28,9 @@
         r.spec.estimate_s = 4;
         core.on_job("job-1", r, 7, 1);
     }
-    void report(int k, std::uint64_t seq) {
+    void report(int k, std::uint64_t sequence) {
         auto name = fmt::format("i-{:03}", k);
-        core.on_report({name, "10.0.0.1:9000", "large", "a", false, 1, seq, 5, {}, {}}, 1);
+        core.on_heartbeat({name, "10.0.0.1:9000", "large", "a", false, 1, sequence, 5, {}, {}}, 1);
     }
     std::size_t queued() const { return core.find_job("job-1")->queued.size(); }
     std::size_t placed() const { return core.find_job("job-1")->live.size(); }
@@ -39,7 +39,7 @@
 } // namespace
 
 // A sweep of 25,000 tasks once stood in the worker queues as a whole and was bid anew each second:
-// reports were answered too late and 659 tasks were killed by their lease.
+// heartbeats were answered too late and 659 tasks were killed by their lease.
 TEST(planning, short_tasks_do_not_fill_the_worker_queues) {
     sweep s(10, 5000);
     for (double now = 2; now < 12; now += 0.2)
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,8 +1,8 @@
-// Changes at the state service whose answers are lost, or that are carried out late, after newer
+// Changes at the key-value store whose answers are lost, or that are carried out late, after newer
 // ones: the committer and the leader key, against a stand-in.
 #include "constants.hpp"
+#include "key_value_stand_in.hpp"
 #include "membership/member.hpp"
-#include "state_stand_in.hpp"
 #include "store/committer.hpp"
 #include "trace_runner.hpp"
 #include <gtest/gtest.h>
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -12,7 +12,7 @@
     s.node = "n0";
     s.zone = "a";
     s.teams = {{"red", 8, 16, 0, 0}, {"blue", 0, 0, 0, 0}};
-    s.report_s = 3;
+    s.heartbeat_interval_s = 3;
     s.lease_s = 20;
     s.cancel_s = 40;
     s.state_rps = 100;
@@ -60,7 +60,7 @@
 }
 
 struct runner {
-    std::unique_ptr<control::engine> core;
+    std::unique_ptr<control::scheduler> core;
     std::deque<control::durable_write> writes;
     std::map<std::string, wire::job_record> records;
     std::map<std::string, std::uint64_t> versions;
@@ -74,11 +74,11 @@
         return i == f.end() ? fallback : i->second.back();
     }
 
-    void orders(const std::vector<order> &list) {
+    void commands(const std::vector<command> &list) {
         for (auto &o : list) {
-            auto what = o.kind == order_kind::start  ? "start"
-                        : o.kind == order_kind::stop ? "stop"
-                                                     : "forget";
+            auto what = o.kind == command_kind::start  ? "start"
+                        : o.kind == command_kind::stop ? "stop"
+                                                       : "forget";
             say(fmt::format("order {} {}/{} attempt {}", what, o.job, o.index, show(o.attempt)));
         }
     }
@@ -98,7 +98,7 @@
                     line += " " + o.value;
                 else if (w.kind == control::write_kind::job_end && !o.value.empty())
                     line += std::string(" ") +
-                            std::string(wire::stage_word(wire::parse_ended(o.value).stage));
+                            std::string(wire::state_word(wire::parse_ended(o.value).state));
             }
             for (auto &c : w.when)
                 line += fmt::format(" if {} is {}", c.key, c.version);
@@ -117,18 +117,18 @@
             say("raise the token");
     }
 
-    worker_report report(const std::string &machine, const fields &f) {
-        worker_report r;
+    heartbeat report(const std::string &machine, const fields &f) {
+        heartbeat r;
         r.machine = machine;
         r.address = "10.0.0.1:9000";
         r.type = get(f, "type", "small");
         r.zone = get(f, "zone", "a");
         r.spot = get(f, "spot", "no") == "yes";
-        r.session = std::stoull(get(f, "session", "1"));
-        r.seq = std::stoull(get(f, "seq", "1"));
+        r.incarnation = std::stoull(get(f, "session", "1"));
+        r.sequence = std::stoull(get(f, "seq", "1"));
         r.token = std::stoull(get(f, "token", "0"));
         if (f.count("notice"))
-            r.notice_s = std::stod(get(f, "notice", "0"));
+            r.reclaim_notice_s = std::stod(get(f, "notice", "0"));
         if (auto i = f.find("task"); i != f.end())
             for (auto &t : i->second) {
                 std::istringstream in(t);
@@ -136,7 +136,7 @@
                 std::getline(in, task, ':');
                 std::getline(in, attempt, ':');
                 std::getline(in, state, ':');
-                task_report x;
+                task_status x;
                 auto slash = task.find('/');
                 x.job = task.substr(0, slash);
                 x.index = static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)));
@@ -144,7 +144,7 @@
                 static const std::map<std::string, std::pair<task_state, exit_cause>> words = {
                     {"fetching", {task_state::fetching, exit_cause::none}},
                     {"running", {task_state::running, exit_cause::none}},
-                    {"saving", {task_state::saving, exit_cause::none}},
+                    {"saving", {task_state::checkpointing, exit_cause::none}},
                     {"done", {task_state::exited, exit_cause::done}},
                     {"stopped", {task_state::exited, exit_cause::stopped}},
                     {"error", {task_state::exited, exit_cause::error}},
@@ -174,7 +174,7 @@
         auto token = std::stoull(get(f, "token", "0"));
         if (verb == "lead") {
             // A new leader: all it has is what was written.
-            core = std::make_unique<control::engine>(small_settings(), small_types());
+            core = std::make_unique<control::scheduler>(small_settings(), small_types());
             core->begin(now, token, 0);
             for (auto &[id, r] : records)
                 core->load_job(id, r, versions[id], now);
@@ -197,20 +197,21 @@
             r.spec.estimate_s = std::stod(get(f, "estimate", "30"));
             r.spec.spread = get(f, "spread", "no") == "yes";
             r.spec.spot = get(f, "spot", "yes") == "yes";
-            r.spec.one_zone = get(f, "one_zone", "no") == "yes";
+            r.spec.same_zone = get(f, "one_zone", "no") == "yes";
             if (f.count("zone"))
                 r.spec.zone = get(f, "zone", "");
             r.spec.image = get(f, "image", "img");
-            static const std::map<std::string, priority> ranks = {{"critical", priority::critical},
-                                                                  {"high", priority::high},
-                                                                  {"normal", priority::normal},
-                                                                  {"low", priority::low}};
-            r.spec.rank = ranks.at(get(f, "rank", "normal"));
-            r.spec.checkpoint_s = std::stod(get(f, "checkpoint", "0"));
-            r.spec.save_s = std::stod(get(f, "save", "0"));
+            static const std::map<std::string, priority_class> ranks = {
+                {"critical", priority_class::critical},
+                {"high", priority_class::high},
+                {"normal", priority_class::normal},
+                {"low", priority_class::low}};
+            r.spec.priority = ranks.at(get(f, "rank", "normal"));
+            r.spec.checkpoint_interval_s = std::stod(get(f, "checkpoint", "0"));
+            r.spec.checkpoint_duration_s = std::stod(get(f, "save", "0"));
             if (get(f, "shape", "array") == "service") {
                 r.spec.shape = job_shape::service;
-                r.spec.rank = priority::critical;
+                r.spec.priority = priority_class::critical;
                 r.spec.spot = false;
                 r.spec.estimate_s = 0;
             }
@@ -227,11 +228,11 @@
             if (get(f, "told", "yes") == "yes")
                 core->on_job(names.at(0), records[names.at(0)], revision, now);
         } else if (verb == "report") {
-            auto age = core->on_report(report(names.at(0), f), now);
-            if (age == control::engine::report_age::dead) {
+            auto age = core->on_heartbeat(report(names.at(0), f), now);
+            if (age == control::scheduler::heartbeat_age::dead) {
                 say("refused: out of date");
             } else {
-                orders(core->orders_in_answer(names.at(0), now));
+                commands(core->commands_for_answer(names.at(0), now));
                 core->answered(names.at(0), age, now);
             }
         } else if (verb == "cancel-by-name") {
@@ -240,10 +241,10 @@
             versions[names.at(0)] = ++revision;
             core->on_cancel({names.at(0), revision, 0}, now);
         } else if (verb == "command") {
-            orders(core->orders_in_command(names.at(0), now));
+            commands(core->direct_commands_for(names.at(0), now));
         } else if (verb == "command-answered") {
             core->command_resolved(names.at(0));
-            core->on_report(report(names.at(0), f), now, true);
+            core->on_heartbeat(report(names.at(0), f), now, true);
         } else if (verb == "command-lost") {
             core->command_unresolved(names.at(0), core->token(),
                                      std::stoull(get(f, "session", "1")));
@@ -253,7 +254,7 @@
             auto list = std::move(writes);
             writes.clear();
             for (auto &w : list) {
-                // What the state service does: all conditions must hold.
+                // What the key-value store does: all conditions must hold.
                 bool ok = true;
                 for (auto &c : w.when)
                     if (auto j = versions.find(c.key.substr(4));
@@ -287,11 +288,11 @@
         } else if (verb == "deleted") {
             core->on_deleted(names, now);
         } else if (verb == "hosts") {
-            std::vector<host> hosts;
+            std::vector<listed_machine> hosts;
             for (auto &n : names)
                 hosts.push_back({n, "10.0.0.1:9000", get(f, "type", "small"), get(f, "zone", "a"),
-                                 false, host::stage::running, 10});
-            core->on_hosts(hosts, now, now);
+                                 false, machine_state::running, 10});
+            core->on_machine_list(hosts, now, now);
         } else if (verb != "tick") {
             throw std::runtime_error("unknown verb " + verb);
         }
@@ -306,7 +307,7 @@
         for (auto &id : core->unresolved_predecessors())
             if (auto i = store.find("j/e/" + id); ends_known && i != store.end()) {
                 auto end = wire::parse_ended(i->second);
-                core->on_predecessor_end(id, {end.stage, end.at}, now);
+                core->on_predecessor_end(id, {end.state, end.at}, now);
             }
     }
     void load(const std::string &key, const std::string &value, double now) {
--- a/tests/trace_runner.hpp
+++ b/tests/trace_runner.hpp
@@ -1,6 +1,6 @@
-// Replays a kept trace: commands with a time, and after each the engine's decisions.
+// Replays a kept trace: commands with a time, and after each the scheduler's decisions.
 #pragma once
-#include "control/engine.hpp"
+#include "control/scheduler.hpp"
 #include <deque>
 #include <string>
 #include <vector>
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -1,6 +1,6 @@
 #include "constants.hpp"
-#include "control/engine.hpp"
-#include "membership/promises.hpp"
+#include "control/scheduler.hpp"
+#include "membership/lease_votes.hpp"
 #include "net/http.hpp"
 #include "settings/settings.hpp"
 #include "store/committer.hpp"
@@ -29,7 +29,7 @@
 
 TEST(wire, submission_survives_the_record) {
     auto s = wire::parse_submission(good_job);
-    EXPECT_EQ(s.rank, priority::high);
+    EXPECT_EQ(s.priority, priority_class::high);
     EXPECT_FALSE(s.deadline_s);
     EXPECT_TRUE(s.spread);
     wire::job_record r;
@@ -60,12 +60,12 @@
         try {
             wire::parse_submission(with(good_job, x.from, x.to));
             ADD_FAILURE() << "accepted: " << x.to;
-        } catch (const wire::bad_message &e) {
+        } catch (const wire::malformed_message &e) {
             EXPECT_EQ(std::string(e.what()).rfind(x.field + ":", 0), 0u) << e.what();
         }
     }
-    EXPECT_THROW(wire::parse_submission("[]"), wire::bad_message);
-    EXPECT_THROW(wire::parse_submission("{"), wire::bad_message);
+    EXPECT_THROW(wire::parse_submission("[]"), wire::malformed_message);
+    EXPECT_THROW(wire::parse_submission("{"), wire::malformed_message);
 }
 
 TEST(wire, done_parts_take_no_more_bytes_than_counted) {
@@ -85,7 +85,7 @@
     EXPECT_EQ(got, parts);
     for (auto bad :
          {"[]", R"({"job-1":"0"})", R"({"job-1/x":"0"})", R"({"job-1/0":"g"})", R"({"job-1/0":1})"})
-        EXPECT_THROW(wire::parse_done(bad), wire::bad_message) << bad;
+        EXPECT_THROW(wire::parse_done(bad), wire::malformed_message) << bad;
 }
 
 TEST(wire, placements_take_no_more_bytes_than_counted) {
@@ -108,20 +108,20 @@
     auto back = wire::parse_peer(wire::encode_peer(m));
     EXPECT_EQ(back.number("a"), ~0ull);
     EXPECT_EQ(back.text("b"), "x");
-    EXPECT_THROW(wire::parse_peer("{}"), wire::bad_message);
-    EXPECT_THROW(wire::parse_peer(""), wire::bad_message);
+    EXPECT_THROW(wire::parse_peer("{}"), wire::malformed_message);
+    EXPECT_THROW(wire::parse_peer(""), wire::malformed_message);
 }
 
 TEST(wire, report_states_and_causes) {
-    auto r = wire::parse_report(
+    auto r = wire::parse_heartbeat(
         R"({"spindle":"i-1","address":"1.2.3.4:5","frame":"f","croft":"a","loaners":true,"shift":2,)"
         R"("tally":7,"warrant":3,"recallS":5.5,"threads":[{"thread":"job-1/12","try":4,)"
         R"("stage":"exited","cause":"halted","kept":true}]})");
     ASSERT_EQ(r.tasks.size(), 1u);
     EXPECT_EQ(r.tasks[0].index, 12u);
     EXPECT_EQ(r.tasks[0].cause, exit_cause::stopped);
-    EXPECT_TRUE(r.tasks[0].saved);
-    EXPECT_DOUBLE_EQ(*r.notice_s, 5.5);
+    EXPECT_TRUE(r.tasks[0].checkpointed);
+    EXPECT_DOUBLE_EQ(*r.reclaim_notice_s, 5.5);
     EXPECT_TRUE(r.newer_than(1, 99));
     EXPECT_FALSE(r.newer_than(2, 7));
 }
@@ -229,7 +229,7 @@
 
 TEST(promises, a_restarted_voter_promises_nothing_at_first) {
     // It may have promised to a leader a moment before it ended and came back at once.
-    membership::promise_book book(100.0, 3.0);
+    membership::vote_ledger book(100.0, 3.0);
     EXPECT_FALSE(book.grant("x", 3.0, 100.3));
     EXPECT_FALSE(book.grant("x", 3.0, 102.9));
     EXPECT_TRUE(book.grant("x", 3.0, 103.1));
@@ -242,9 +242,9 @@
 TEST(promises, either_entitlement_keeps_a_leader) {
     membership::authority a("n0", 3);
     EXPECT_FALSE(a.valid(0));
-    a.promised("n0", 0, 3);
+    a.vote_granted("n0", 0, 3);
     EXPECT_FALSE(a.valid(1)) << "one of three is no majority";
-    a.promised("n1", 0, 3);
+    a.vote_granted("n1", 0, 3);
     EXPECT_TRUE(a.valid(1));
     EXPECT_FALSE(a.valid(3)) << "counted shorter than it was given";
     a.lease_renewed(2, 3);
@@ -252,11 +252,11 @@
     EXPECT_FALSE(a.valid(5));
 }
 
-// Three controllers, a state service with a lease, clocks that drift, lost and late messages,
+// Three controllers, a key-value store with a lease, clocks that drift, lost and late messages,
 // restarts within a moment, outages: never two that hold themselves valid.
 TEST(promises, never_two_valid_leaders) {
     using membership::authority;
-    using membership::promise_book;
+    using membership::vote_ledger;
     int led = 0, handovers = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         boost::random::mt19937 random(seed);
@@ -264,7 +264,7 @@
             return boost::random::uniform_real_distribution<double>(a, b)(random);
         };
         struct node {
-            std::unique_ptr<promise_book> book;
+            std::unique_ptr<vote_ledger> book;
             std::unique_ptr<authority> own;
             double rate = 1, busy_until = 0;
             bool leader = false, cut = false, blind = false;
@@ -276,8 +276,8 @@
         double key_until = 0, outage_until = 0;
         auto clock = [&](node &n, double t) { return t * n.rate; };
         auto restart = [&](node &n, double t) {
-            n.book = std::make_unique<promise_book>(
-                clock(n, t), c::promise_s * (1 + 2 * c::clock_drift) + c::authority_margin_s);
+            n.book = std::make_unique<vote_ledger>(
+                clock(n, t), c::vote_length_s * (1 + 2 * c::clock_drift) + c::authority_margin_s);
             n.own = std::make_unique<authority>("n", 3);
             n.leader = false;
         };
@@ -309,13 +309,13 @@
                 double mine = clock(n, t);
                 auto gather = [&](double length) {
                     if (n.book->grant(n.as, length, mine))
-                        n.own->promised(std::to_string(i), mine, length);
+                        n.own->vote_granted(std::to_string(i), mine, length);
                     for (std::size_t k = 0; k < nodes.size(); ++k)
                         if (k != i && !n.cut && !nodes[k].cut && real(0, 1) < 0.9)
                             // arrives a little later than it was sent
                             if (nodes[k].book->grant(n.as, length,
                                                      clock(nodes[k], t + real(0, 0.3))))
-                                n.own->promised(std::to_string(k), mine, length);
+                                n.own->vote_granted(std::to_string(k), mine, length);
                 };
                 if (n.leader) {
                     if (!n.own->valid(mine)) {
@@ -324,7 +324,7 @@
                         continue;
                     }
                     if (real(0, 1) < 0.07) {
-                        gather(c::promise_s);
+                        gather(c::vote_length_s);
                         if (state && key == n.as) {
                             key_until = t + c::leader_lease_s;
                             n.own->lease_renewed(mine, c::leader_lease_s);
@@ -369,14 +369,14 @@
     store::budget b(10);
     double now = 0;
     int rest = 0, accept = 0;
-    while (b.take(1, store::urgency::rest, now))
+    while (b.take(1, store::request_priority::rest, now))
         ++rest;
-    while (b.take(1, store::urgency::accept, now))
+    while (b.take(1, store::request_priority::accept, now))
         ++accept;
     EXPECT_LT(rest, 8);
     EXPECT_GT(accept, 0);
-    EXPECT_FALSE(b.take(1, store::urgency::accept, now));
-    EXPECT_TRUE(b.take(1, store::urgency::accept, now + 1));
+    EXPECT_FALSE(b.take(1, store::request_priority::accept, now));
+    EXPECT_TRUE(b.take(1, store::request_priority::accept, now + 1));
 }
 
 // Single submissions came as fast as the budget refilled, and a transaction of eight changes, less
@@ -387,9 +387,9 @@
     double taken = 0;
     for (int ms = 0; ms < 60'000; ms += 20) {
         double now = ms / 1000.0;
-        if (ms % 80 == 0 && b.take(1, store::urgency::accept, now))
+        if (ms % 80 == 0 && b.take(1, store::request_priority::accept, now))
             taken += 1;
-        if (b.take(8, store::urgency::placement, now)) {
+        if (b.take(8, store::request_priority::placement, now)) {
             taken += 8;
             ++large;
         }
@@ -402,22 +402,25 @@
 // rented meanwhile.
 TEST(budget, the_more_urgent_do_not_pass_who_waited_long) {
     store::write_line line;
-    auto rental = line.enter(10.0), submission = line.enter(10.2);
-    EXPECT_TRUE(line.may_go(submission, store::urgency::accept, 10.3));
-    EXPECT_FALSE(line.may_go(submission, store::urgency::accept, 10.5));
-    EXPECT_TRUE(line.may_go(submission, store::urgency::cancel, 10.5)) << "a cancel waits for none";
-    EXPECT_TRUE(line.may_go(rental, store::urgency::placement, 10.5));
-    EXPECT_EQ(line.rank_of(rental, store::urgency::placement, 10.3), store::urgency::placement);
-    EXPECT_EQ(line.rank_of(rental, store::urgency::placement, 10.5), store::urgency::cancel);
-    line.leave(rental);
-    EXPECT_TRUE(line.may_go(submission, store::urgency::accept, 10.5));
+    auto rental_request = line.enter(10.0), submission = line.enter(10.2);
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, 10.3));
+    EXPECT_FALSE(line.may_go(submission, store::request_priority::accept, 10.5));
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::cancel, 10.5))
+        << "a cancel waits for none";
+    EXPECT_TRUE(line.may_go(rental_request, store::request_priority::placement, 10.5));
+    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, 10.3),
+              store::request_priority::placement);
+    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, 10.5),
+              store::request_priority::cancel);
+    line.leave(rental_request);
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, 10.5));
 }
 
 TEST(group_commit, leaves_out_what_nobody_waits_for) {
     std::deque<store::unit> waiting(2);
-    waiting[0].rank = store::urgency::rest;
+    waiting[0].priority = store::request_priority::rest;
     waiting[0].ops = {{"a", "", 0}};
-    waiting[1].rank = store::urgency::placement;
+    waiting[1].priority = store::request_priority::placement;
     waiting[1].ops = {{"b", "1", 0}};
     EXPECT_EQ(store::choose_units(waiting, 8, 10000), (std::vector<std::size_t>{1}));
     waiting.pop_back();
@@ -426,17 +429,17 @@
 
 TEST(group_commit, keeps_limits_order_of_urgency_and_apart_what_touches_one_key) {
     std::deque<store::unit> waiting;
-    auto add = [&](store::urgency u, std::vector<std::string> keys) {
+    auto add = [&](store::request_priority u, std::vector<std::string> keys) {
         store::unit x;
-        x.rank = u;
+        x.priority = u;
         for (auto &k : keys)
             x.ops.push_back({k, "1", 0});
         waiting.push_back(std::move(x));
     };
-    add(store::urgency::rest, {"a", "b"});
-    add(store::urgency::cancel, {"c"});
-    add(store::urgency::done, {"c"});
-    add(store::urgency::done, {"d", "e"});
+    add(store::request_priority::rest, {"a", "b"});
+    add(store::request_priority::cancel, {"c"});
+    add(store::request_priority::done, {"c"});
+    add(store::request_priority::done, {"d", "e"});
     auto chosen = store::choose_units(waiting, 4, 10000);
     EXPECT_EQ(chosen, (std::vector<std::size_t>{1, 3})) << "c twice never; a and b do not fit";
 }
@@ -531,8 +534,8 @@
                   {2, 1}, {1, 2}, {0, all_tasks}, {2, all_tasks}, {1, all_tasks}}));
 }
 
-// Half as many machines again as the files show: their reports and the commands to them once took
-// every socket of the leader, which then heard nobody (simulated machines, a day of 2,250).
+// Half as many machines again as the files show: their heartbeats and the commands to them once
+// took every socket of the leader, which then heard nobody (simulated machines, a day of 2,250).
 TEST(sockets, commands_leave_room_for_reports) {
     for (int all : {1200, 4189, 4233, 5000}) {
         auto p = settings::plan_sockets(all);
@@ -612,15 +615,15 @@
     EXPECT_GT(large_done * 2, of_large);
 }
 
-// A controller that loses the state service and the others, but not its workers: as leader it
-// lapses with its lease and promises, and its users are sent elsewhere, where their jobs are known.
+// A controller that loses the key-value store and the others, but not its workers: as leader it
+// lapses with its lease and votes, and its users are sent elsewhere, where their jobs are known.
 TEST(nodes, on_its_own_it_gives_up_in_time) {
     membership::authority a("n0", 7);
     for (auto n : {"n0", "n1", "n2", "n3"})
-        a.promised(n, 10, c::promise_s);
+        a.vote_granted(n, 10, c::vote_length_s);
     a.lease_renewed(10.5, c::leader_lease_s);
-    // From here on nothing is heard; its own promise to itself is no majority.
-    a.promised("n0", 12, c::promise_s);
+    // From here on nothing is heard; its own vote to itself is no majority.
+    a.vote_granted("n0", 12, c::vote_length_s);
     EXPECT_TRUE(a.valid(12.9));
     EXPECT_TRUE(a.valid(13.2)) << "by its lease alone";
     EXPECT_FALSE(a.valid(13.5));
--- a/tests/upgrade/process_cluster.cpp
+++ b/tests/upgrade/process_cluster.cpp
@@ -45,7 +45,7 @@
         out << fmt::format("[[cluster.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\n", t.name,
                            t.cpus, t.cpus_max);
     out << fmt::format("[cluster.workers]\nreport_s = {}\nlease_s = {}\ncancel_s = {}\n",
-                       s.report_s, s.lease_s, s.cancel_s);
+                       s.heartbeat_interval_s, s.lease_s, s.cancel_s);
     out << fmt::format("[cluster.state]\nrps = {}\nwrite_rps = {}\nvalue_kb = {}\ntxn_ops = {}\n",
                        s.state_rps, s.state_write_rps, s.value_kb, s.txn_ops);
     out << "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0\n";
@@ -54,7 +54,8 @@
 }
 
 void process_cluster::start(std::size_t node, version what) {
-    std::string program = what == version::present ? SPINDLECROFT_PRESENT : SPINDLECROFT_PRODUCTION;
+    std::string program =
+        what == version::possibly_running ? SPINDLECROFT_PRESENT : SPINDLECROFT_PRODUCTION;
     std::string config = "--config", path = (folder_ / (conf[node].node + ".toml")).string();
     std::string log = (folder_ / (conf[node].node + ".log")).string();
     std::array<char *, 4> arguments{program.data(), config.data(), path.data(), nullptr};
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -1,4 +1,4 @@
-// A randomized run of the engine against stand-ins for workers, cloud and state service, in
+// A randomized run of the scheduler against stand-ins for workers, cloud and key-value store, in
 // simulated time: late delivery, lost and repeated messages, machines that hang, die or are taken,
 // leaders that follow one another at any step. Every rule is checked as an invariant.
 #include "constants.hpp"
@@ -29,9 +29,9 @@
     std::string name, type, zone;
     bool spot = false, alive = true;
     double up_at = 0, hang_until = 0;
-    double deaf_until = 0; // its reports arrive, but nothing reaches it
+    double deaf_until = 0; // its heartbeats arrive, but nothing reaches it
     double mute_until = 0; // it reaches no controller, but commands reach it
-    std::uint64_t session = 1, seq = 0, token = 0;
+    std::uint64_t incarnation = 1, sequence = 0, token = 0;
     double lease_from = 0, next_report = 0;
     bool reporting = false;
     std::map<std::pair<std::string, std::uint32_t>, task_here> tasks;
@@ -55,22 +55,24 @@
     double now = 0;
     struct event {
         double at;
-        std::uint64_t order;
+        std::uint64_t command;
         std::function<void()> what;
-        bool operator<(const event &o) const { return at != o.at ? at > o.at : order > o.order; }
+        bool operator<(const event &o) const {
+            return at != o.at ? at > o.at : command > o.command;
+        }
     };
     std::priority_queue<event> events;
     std::uint64_t order_count = 0;
 
-    // the state service
+    // the key-value store
     std::uint64_t revision = 10, leader_token = 0;
     std::map<std::string, record> jobs;
-    std::map<std::string, job_stage> ended;
+    std::map<std::string, job_state> ended;
     std::map<std::string, std::pair<std::string, std::uint64_t>> kv; // value, version
     double outage_until = 0;                                         // nobody is served
     double blind_until = 0;                                          // the leader alone is refused
     // the leader in office
-    std::shared_ptr<control::engine> core;
+    std::shared_ptr<control::scheduler> core;
     std::map<std::string, std::uint64_t> versions; // of its own keys, as it knows them
     double known_until = 0;                        // every cancel before then is known to it
     std::deque<control::durable_write> writing;
@@ -195,16 +197,16 @@
             breaks("ran_cancelled: start of " + job);
     }
 
-    void execute(worker &w, const std::vector<order> &orders) {
-        for (auto &o : orders) {
+    void execute(worker &w, const std::vector<command> &commands) {
+        for (auto &o : commands) {
             auto key = std::make_pair(o.job, o.index);
             auto t = w.tasks.find(key);
-            if (o.kind == order_kind::forget) {
+            if (o.kind == command_kind::remove) {
                 w.older.erase(o.attempt);
                 if (t != w.tasks.end() && t->second.attempt == o.attempt &&
                     t->second.state == task_state::exited)
                     w.tasks.erase(t);
-            } else if (o.kind == order_kind::stop) {
+            } else if (o.kind == command_kind::stop) {
                 if (t != w.tasks.end() && t->second.attempt == o.attempt &&
                     t->second.state != task_state::exited) {
                     t->second.state = task_state::exited;
@@ -245,15 +247,15 @@
         }
     }
 
-    worker_report message(worker &w) {
-        worker_report r;
+    heartbeat message(worker &w) {
+        heartbeat r;
         r.machine = w.name;
         r.address = "10.0.0.1:1";
         r.type = w.type;
         r.zone = w.zone;
         r.spot = w.spot;
-        r.session = w.session;
-        r.seq = ++w.seq;
+        r.incarnation = w.incarnation;
+        r.sequence = ++w.sequence;
         r.token = w.token;
         for (auto &[k, t] : w.tasks)
             r.tasks.push_back({k.first, k.second, t.attempt, t.state, t.cause, false});
@@ -269,7 +271,7 @@
         if (now - w.lease_from > conf.lease_s) {
             w.tasks.clear();
             w.older.clear();
-            ++w.session;
+            ++w.incarnation;
             w.lease_from = now;
             w.reporting = false;
         }
@@ -280,7 +282,7 @@
                     t.cause = exit_cause::done;
                     completed[k] = true;
                     // A cancellation meets the end, as its user sees fit: before or after the
-                    // report.
+                    // heartbeat.
                     if (chance(0.05)) {
                         ++at_end;
                         at(now + real(0, 2), [this, job = k.first] { cancel(job); });
@@ -297,57 +299,58 @@
         auto name = w.name;
         auto r = message(w);
         double sent = now;
-        auto session = w.session;
-        at(now + 4, [this, name, session, sent] { finish(name, session, sent, {}, 0, false); });
-        // A copy of the report comes once more, up to three leases later and perhaps to another
+        auto incarnation = w.incarnation;
+        at(now + 4,
+           [this, name, incarnation, sent] { finish(name, incarnation, sent, {}, 0, false); });
+        // A copy of the heartbeat comes once more, up to three leases later and perhaps to another
         // leader; the answer to it reaches nobody.
         if (chance(0.04))
             at(now + real(2, 60), [this, name, r] {
                 auto leader = core;
                 if (!leader)
                     return;
-                auto age = leader->on_report(r, now);
-                if (age == control::engine::report_age::dead)
+                auto age = leader->on_heartbeat(r, now);
+                if (age == control::scheduler::heartbeat_age::dead)
                     return;
                 ++copies;
                 if (!may_renew())
                     return;
-                leader->orders_in_answer(name, now);
+                leader->commands_for_answer(name, now);
                 leader->answered(name, age, now);
             });
         if (chance(0.02) || now < w.mute_until)
             return;
         double arrives = now + delay();
-        at(arrives, [this, name, session, sent, r] {
+        at(arrives, [this, name, incarnation, sent, r] {
             if (!core || now > sent + 30)
                 return;
             auto leader = core;
-            auto age = leader->on_report(r, now);
-            if (age == control::engine::report_age::dead)
+            auto age = leader->on_heartbeat(r, now);
+            if (age == control::scheduler::heartbeat_age::dead)
                 return;
             bool renew = may_renew();
             if (!renew && !leader->holds_nothing(r))
                 return;
-            auto orders = leader->orders_in_answer(name, now, renew);
+            auto commands = leader->commands_for_answer(name, now, renew);
             auto token = leader->token();
             leader->answered(name, age, now);
             if (chance(0.02) || now < workers.at(name).deaf_until)
                 return;
             double back = now + delay();
             if (back < sent + 4)
-                at(back, [this, name, session, sent, orders, token] {
-                    finish(name, session, sent, orders, token, true);
+                at(back, [this, name, incarnation, sent, commands, token] {
+                    finish(name, incarnation, sent, commands, token, true);
                 });
         });
     }
 
-    void finish(const std::string &name, std::uint64_t session, double sent,
-                const std::vector<order> &orders, std::uint64_t token, bool answered) {
+    void finish(const std::string &name, std::uint64_t incarnation, double sent,
+                const std::vector<command> &commands, std::uint64_t token, bool answered) {
         auto i = workers.find(name);
         if (i == workers.end() || !i->second.alive)
             return;
         auto &w = i->second;
-        if (!w.reporting || w.session != session || sent < w.next_report - 3.9)
+        if (!w.reporting || w.incarnation != incarnation || sent < w.next_report - 3.9)
             return;
         if (now < w.hang_until)
             return;
@@ -357,33 +360,33 @@
             return;
         w.token = token;
         w.lease_from = std::max(w.lease_from, sent);
-        execute(w, orders);
-        if (!orders.empty())
+        execute(w, commands);
+        if (!commands.empty())
             w.next_report = now + 0.5;
     }
 
     // --- the leader's surroundings ---
-    void command(const std::string &name) {
+    void send_command(const std::string &name) {
         auto leader = core;
         auto *m = leader->find_machine(name);
         if (!m)
             return;
-        auto session = m->session;
-        auto orders = leader->orders_in_command(name, now, may_renew());
-        if (orders.empty())
+        auto incarnation = m->incarnation;
+        auto commands = leader->direct_commands_for(name, now, may_renew());
+        if (commands.empty())
             return;
         bool starts_in = false;
-        for (auto &o : orders)
-            starts_in = starts_in || o.kind == order_kind::start;
+        for (auto &o : commands)
+            starts_in = starts_in || o.kind == command_kind::start;
         auto token = leader->token();
         auto answered = std::make_shared<bool>(false);
-        at(now + 2.5, [this, leader, name, token, session, answered, starts_in] {
+        at(now + 2.5, [this, leader, name, token, incarnation, answered, starts_in] {
             if (!*answered && starts_in && leader == core)
-                leader->command_unresolved(name, token, session);
+                leader->command_unresolved(name, token, incarnation);
             *answered = true;
         });
         auto arrive = std::make_shared<std::function<void()>>();
-        *arrive = [this, leader, name, session, token, orders, answered, starts_in, arrive] {
+        *arrive = [this, leader, name, incarnation, token, commands, answered, starts_in, arrive] {
             auto i = workers.find(name);
             if (i == workers.end() || !i->second.alive)
                 return;
@@ -395,9 +398,9 @@
                 return;
             }
             work(w);
-            if (token >= w.token && session == w.session) {
+            if (token >= w.token && incarnation == w.incarnation) {
                 w.token = token;
-                execute(w, orders);
+                execute(w, commands);
             }
             auto r = message(w);
             if (chance(0.1))
@@ -408,7 +411,7 @@
                 *answered = true;
                 if (starts_in)
                     leader->command_resolved(name);
-                leader->on_report(r, now, true);
+                leader->on_heartbeat(r, now, true);
             });
         };
         at(now + (chance(0.15) ? real(1, 40) : delay()), *arrive);
@@ -419,7 +422,7 @@
     }
 
     // What the committer does: the leader's own keys carry the version it knows, all else the
-    // version that the engine names, and the whole the leader key's.
+    // version that the scheduler names, and the whole the leader key's.
     struct transaction {
         control::durable_write what;
         std::map<std::string, std::uint64_t> owned;
@@ -444,7 +447,7 @@
         return true;
     }
 
-    void apply_write(std::shared_ptr<control::engine> leader, const control::durable_write &w) {
+    void apply_write(std::shared_ptr<control::scheduler> leader, const control::durable_write &w) {
         if (leader != core)
             return;
         if (now < outage_until || now < blind_until) {
@@ -469,7 +472,7 @@
     }
 
     // After a lost answer one's own copy may have moved the keys: a written value tells.
-    void settle(std::shared_ptr<control::engine> leader, const transaction &t) {
+    void settle(std::shared_ptr<control::scheduler> leader, const transaction &t) {
         if (leader != core)
             return;
         if (now < outage_until || now < blind_until) {
@@ -517,10 +520,10 @@
                 } else if (o.key.rfind("j/e/", 0) == 0) {
                     auto e = wire::parse_ended(o.value);
                     auto id = o.key.substr(4);
-                    ended[id] = e.stage;
-                    if ((e.stage == job_stage::cancelled) != (told_cancelled.count(id) > 0))
+                    ended[id] = e.state;
+                    if ((e.state == job_state::cancelled) != (told_cancelled.count(id) > 0))
                         breaks("went_back: " + id);
-                    if (e.stage == job_stage::done)
+                    if (e.state == job_state::done)
                         for (std::uint32_t k = 0; k < uploaded.at(id).tasks; ++k)
                             if (!completed[{id, k}])
                                 breaks("not_done: " + id);
@@ -548,7 +551,7 @@
         for (auto &[key, value] : kv)
             versions[key] = value.second;
         leader_token = ++revision;
-        core = std::make_shared<control::engine>(conf, types);
+        core = std::make_shared<control::scheduler>(conf, types);
         core->begin(now, leader_token, 0);
         // What it can't read it passes over.
         old_leader = chance(0.3) && !dependent_may_run();
@@ -585,7 +588,7 @@
         for (auto &w : core->take_writes(now))
             at(t, [this, leader, w] { apply_write(leader, w); });
         for (auto &n : core->take_urgent())
-            command(n);
+            send_command(n);
         for (auto &r : core->take_rentals(now))
             at(now + delay(), [this, leader, r] {
                 if (!hires.count(r.request))
@@ -636,7 +639,7 @@
         r.spec.estimate_s = real(5, 30);
         if (chance(0.25)) {
             r.spec.shape = job_shape::service;
-            r.spec.rank = priority::critical;
+            r.spec.priority = priority_class::critical;
             r.spec.spot = false;
             r.spec.spread = true;
             r.spec.tasks = static_cast<std::uint32_t>(integer(1, 3));
@@ -734,7 +737,7 @@
         for (auto &[id, r] : jobs) {
             auto &s = r.job.spec;
             bool ready = std::all_of(needs[id].begin(), needs[id].end(), [&](auto &p) {
-                return ended.count(p) && ended.at(p) == job_stage::done;
+                return ended.count(p) && ended.at(p) == job_state::done;
             });
             bool waits = ready && !r.job.cancelled && s.shape == job_shape::array;
             bool undone = false;
@@ -844,13 +847,14 @@
                 check_blame();
                 if (now >= next_list) {
                     next_list = now + 5;
-                    std::vector<host> hosts;
+                    std::vector<listed_machine> hosts;
                     for (auto &[name, w] : workers)
                         if (w.alive)
                             hosts.push_back(
                                 {name, "10.0.0.1:1", w.type, w.zone, w.spot,
-                                 now >= w.up_at ? host::stage::running : host::stage::booting, 1});
-                    core->on_hosts(hosts, now, now);
+                                 now >= w.up_at ? machine_state::running : machine_state::booting,
+                                 1});
+                    core->on_machine_list(hosts, now, now);
                 }
             }
             if (!calm)
