--- a/src/bidding/bid.hpp
+++ b/src/bidding/bid.hpp
@@ -1,5 +1,6 @@
 // The bids of the paper's scheduler: queued work + image fetch + run time.
 #pragma once
+#include "common/time.hpp"
 #include "constants.hpp"
 #include "wire/types.hpp"
 #include <algorithm>
@@ -12,8 +13,8 @@
 // How owners' estimates of a class compare with what was measured.
 class estimates {
   public:
-    double expected_s(const job_spec &s) const;
-    void measured(const std::string &job_class, double estimate_s, double took_s);
+    seconds expected_run_time(const job_spec &s) const;
+    void measured(const std::string &job_class, seconds estimate, seconds took);
 
   private:
     std::map<std::string, double> factor_;
@@ -50,24 +51,26 @@
 };
 
 struct offer {
-    double queued_s = 0, fetch_s = 0, run_s = 0;
-    double finish_s() const { return queued_s + fetch_s + run_s; }
+    seconds queue_time{};
+    seconds fetch_time{};
+    seconds run_time{};
+    seconds finish_time() const { return queue_time + fetch_time + run_time; }
 };
 
 // What one machine bids for a task.
 // free: room that no present or queued task holds; whole: room for tasks that come and go;
-// work_s: remaining and queued run time of such tasks; boot_s: time until the machine is up.
+// work: remaining and queued run time of such tasks; boot_time: until the machine is up.
 // has_image: cached there, or on its way for another task.
 inline offer make_bid(double speed, double fetch_gb_per_s, const job_spec &s, const room &free,
-                      const room &whole, double work_s, double boot_s, double expected_s,
+                      const room &whole, seconds work, seconds boot_time, seconds expected_run_time,
                       bool has_image, int fetches) {
     offer o;
     if (!free.fits(s))
-        o.queued_s = work_s / std::max(1, whole.slots(s));
-    o.queued_s += boot_s;
+        o.queue_time = work / std::max(1, whole.slots(s));
+    o.queue_time += boot_time;
     if (!has_image && fetch_gb_per_s > 0)
-        o.fetch_s = s.image_gb / fetch_gb_per_s * (1 + fetches);
-    o.run_s = expected_s / std::max(speed, constants::speed_floor);
+        o.fetch_time = seconds{s.image_gb / fetch_gb_per_s * (1 + fetches)};
+    o.run_time = expected_run_time / std::max(speed, constants::speed_floor);
     return o;
 }
 
--- a/src/catalog/cancelled_record.cpp
+++ b/src/catalog/cancelled_record.cpp
@@ -4,7 +4,7 @@
 
 // Guards against a cancel that the key-value store refuses for ever: the record may have been
 // written when the service still took larger values.
-wire::job_record cancelled_record(wire::job_record record, double cancelled_at,
+wire::job_record cancelled_record(wire::job_record record, wall_time cancelled_at,
                                   std::size_t most_bytes) {
     record.cancelled = true;
     record.cancelled_at = cancelled_at;
--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -3,7 +3,9 @@
 
 namespace spindlecroft::catalog {
 
-void dependency_graph::add(const std::string &job, const std::vector<std::string> &predecessors) {
+template <class Time>
+void basic_dependency_graph<Time>::add(const std::string &job,
+                                       const std::vector<std::string> &predecessors) {
     auto [i, fresh] = nodes_.try_emplace(job);
     if (!fresh)
         return;
@@ -16,7 +18,8 @@
         auto end = ends_.find(predecessor);
         if (end != ends_.end() && end->second.state == job_state::done) {
             --added.not_done;
-            added.ready_at = std::max(added.ready_at, end->second.at);
+            if (end->second.at)
+                added.ready_at = std::max(added.ready_at, *end->second.at);
         }
         cancelled = cancelled || (end != ends_.end() && end->second.state == job_state::cancelled);
         cancelled = cancelled || of(predecessor) == standing::cancelled;
@@ -27,7 +30,8 @@
     }
 }
 
-void dependency_graph::remove(const std::string &job) {
+template <class Time>
+void basic_dependency_graph<Time>::remove(const std::string &job) {
     auto i = nodes_.find(job);
     if (i == nodes_.end())
         return;
@@ -42,14 +46,16 @@
     nodes_.erase(i);
 }
 
-void dependency_graph::clear() {
+template <class Time>
+void basic_dependency_graph<Time>::clear() {
     nodes_.clear();
     dependents_.clear();
     ends_.clear();
 }
 
 // Iterative, since a chain may be of any length.
-void dependency_graph::cancel_from(std::vector<std::string> jobs, changes &out) {
+template <class Time>
+void basic_dependency_graph<Time>::cancel_from(std::vector<std::string> jobs, changes &out) {
     while (!jobs.empty()) {
         auto job = std::move(jobs.back());
         jobs.pop_back();
@@ -63,8 +69,9 @@
     }
 }
 
-dependency_graph::changes dependency_graph::note_end(const std::string &predecessor,
-                                                     const predecessor_end &end) {
+template <class Time>
+standing_changes basic_dependency_graph<Time>::note_end(const std::string &predecessor,
+                                                        const predecessor_end &end) {
     changes out;
     auto d = dependents_.find(predecessor);
     if (d == dependents_.end() || !ends_.try_emplace(predecessor, end).second)
@@ -75,14 +82,16 @@
     }
     for (auto &job : d->second) {
         auto &dependent = nodes_.at(job);
-        dependent.ready_at = std::max(dependent.ready_at, end.at);
+        if (end.at)
+            dependent.ready_at = std::max(dependent.ready_at, *end.at);
         if (--dependent.not_done == 0 && !dependent.cancelled)
             out.ready.push_back(job);
     }
     return out;
 }
 
-standing dependency_graph::of(const std::string &job) const {
+template <class Time>
+standing basic_dependency_graph<Time>::of(const std::string &job) const {
     auto *found = find(job);
     if (!found)
         return standing::ready;
@@ -91,23 +100,30 @@
     return found->not_done == 0 ? standing::ready : standing::waiting;
 }
 
-const dependency_graph::node *dependency_graph::find(const std::string &job) const {
+template <class Time>
+const typename basic_dependency_graph<Time>::node *
+basic_dependency_graph<Time>::find(const std::string &job) const {
     auto i = nodes_.find(job);
     return i == nodes_.end() ? nullptr : &i->second;
 }
 
-const std::set<std::string> &dependency_graph::dependents(const std::string &job) const {
+template <class Time>
+const std::set<std::string> &
+basic_dependency_graph<Time>::dependents(const std::string &job) const {
     static const std::set<std::string> none;
     auto i = dependents_.find(job);
     return i == dependents_.end() ? none : i->second;
 }
 
-const predecessor_end *dependency_graph::end_of(const std::string &predecessor) const {
+template <class Time>
+const basic_predecessor_end<Time> *
+basic_dependency_graph<Time>::end_of(const std::string &predecessor) const {
     auto i = ends_.find(predecessor);
     return i == ends_.end() ? nullptr : &i->second;
 }
 
-std::set<std::string> dependency_graph::unresolved(const active_test &active) const {
+template <class Time>
+std::set<std::string> basic_dependency_graph<Time>::unresolved(const active_test &active) const {
     std::set<std::string> out;
     for (auto &[predecessor, jobs] : dependents_)
         if (!ends_.count(predecessor) && !active(predecessor))
@@ -115,8 +131,10 @@
     return out;
 }
 
-std::set<std::string> dependency_graph::unresolved_for(const std::string &job,
-                                                       const active_test &active) const {
+template <class Time>
+std::set<std::string>
+basic_dependency_graph<Time>::unresolved_for(const std::string &job,
+                                             const active_test &active) const {
     std::set<std::string> out, seen{job};
     std::vector<std::string> open{job};
     while (!open.empty()) {
@@ -136,4 +154,7 @@
     return out;
 }
 
+template class basic_dependency_graph<time_point>;
+template class basic_dependency_graph<wall_time>;
+
 } // namespace spindlecroft::catalog
--- a/src/catalog/dependency_graph.hpp
+++ b/src/catalog/dependency_graph.hpp
@@ -6,9 +6,11 @@
 // There are no cycles: a job names only jobs that were accepted before it, and its record's list is
 // never extended.
 #pragma once
+#include "common/time.hpp"
 #include "wire/types.hpp"
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -16,9 +18,10 @@
 namespace spindlecroft::catalog {
 
 // How a predecessor ended. An active job whose record says that it is cancelled counts as ended.
-struct predecessor_end {
+template <class Time>
+struct basic_predecessor_end {
     job_state state = job_state::done; // done or cancelled
-    double at = 0;                     // s, on the clock of whoever notes it; 0: unknown
+    std::optional<Time> at;            // nothing: unknown
 };
 
 enum class standing {
@@ -27,8 +30,17 @@
     cancelled, // with a predecessor, direct or not
 };
 
-class dependency_graph {
+// Jobs whose standing changed.
+struct standing_changes {
+    std::vector<std::string> ready, cancelled;
+};
+
+// Time: a moment on the clock of whoever notes the ends.
+template <class Time>
+class basic_dependency_graph {
   public:
+    using predecessor_end = basic_predecessor_end<Time>;
+    using changes = standing_changes;
     // Whether a job has an active record.
     using active_test = std::function<bool(const std::string &)>;
 
@@ -36,12 +48,7 @@
         std::vector<std::string> predecessors;
         std::size_t not_done = 0; // predecessors that are not known to be done
         bool cancelled = false;
-        double ready_at = 0; // s; the last known end of a predecessor
-    };
-
-    // Jobs whose standing changed.
-    struct changes {
-        std::vector<std::string> ready, cancelled;
+        Time ready_at{}; // the last known end of a predecessor
     };
 
     // An active job with predecessors. Adding it again changes nothing. The ends of its
@@ -71,4 +78,11 @@
     std::map<std::string, predecessor_end> ends_;             // of those with dependents
 };
 
+// On this process's steady clock.
+using dependency_graph = basic_dependency_graph<time_point>;
+using predecessor_end = basic_predecessor_end<time_point>;
+// On the clock of day.
+using wall_dependency_graph = basic_dependency_graph<wall_time>;
+using wall_predecessor_end = basic_predecessor_end<wall_time>;
+
 } // namespace spindlecroft::catalog
--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -1,5 +1,6 @@
 // A job and its tasks, as the deciding node knows them.
 #pragma once
+#include "common/time.hpp"
 #include "wire/types.hpp"
 #include <map>
 #include <optional>
@@ -31,40 +32,42 @@
     std::string machine;
     attempt_phase phase = attempt_phase::committing;
     exit_cause cause = exit_cause::none;
-    double estimate_s = 0;     // run time expected on this machine
-    double created_at = 0;     // s
-    double running_since = -1; // s, when first reported running
-    double running_seen = -1;  // s, when last reported running
-    double fetch_since = -1;   // s
+    seconds estimate{}; // run time expected on this machine
+    time_point created_at{};
+    std::optional<time_point> running_since; // when first reported running
+    std::optional<time_point> running_seen;  // when last reported running
     std::uint64_t sent_incarnation = 0,
                   sent_sequence = 0; // heartbeat whose answer carried the start
     bool inherited = false;          // from an earlier leader's placement record
     bool stop_wanted = false;
-    double grace_s = 0;
-    double stop_since = -1;
+    seconds grace{};
     bool settled = false; // exited and its consequence is durable: may be forgotten
     // Presumed on the machine: everything from the first send until proven gone.
     bool possibly_running() const {
         return phase != attempt_phase::committing && phase != attempt_phase::committed &&
                phase != attempt_phase::exited;
     }
+    // For how long it was seen running.
+    seconds ran_for(time_point now) const {
+        return running_since ? now - *running_since : seconds{};
+    }
     bool holds_resources() const { return phase != attempt_phase::exited; }
 };
 
 struct job {
     job_spec spec;
     std::uint64_t version = 0; // of its record in the key-value store
-    double accepted_at = 0;    // s, steady clock of this node
+    time_point accepted_at{};
     // With predecessors: whether all of them are durably done, and since when. A job without is
     // ready from its acceptance on.
     bool ready = true;
-    double ready_at = 0; // s, steady clock of this node
+    time_point ready_at{};
     // As submitted. The priority in `spec` is the highest of its own and of any unfinished job that
-    // needs it; the due times (s, steady clock) are passed backwards from those.
+    // needs it; the due times are passed backwards from those.
     priority_class own_priority = priority_class::normal;
-    std::optional<double> inherited_first_due, inherited_last_due;
+    std::optional<time_point> inherited_first_due, inherited_last_due;
     bool cancelled = false;
-    double cancelled_at = 0;
+    time_point cancelled_at{};
     bool end_writing = false, ended = false;
 
     std::vector<bool> done;                      // known done (durable or being written)
@@ -75,16 +78,16 @@
     std::map<std::uint32_t, std::string> queued; // in the queue of this machine
     std::map<std::uint32_t, attempt> live;
     std::vector<bool> done_durable;               // of these, written
-    double write_after = 0;                       // s; pause after a conflict
+    time_point write_after{};                     // pause after a conflict
     std::map<std::uint32_t, std::string> done_in; // which record tells of this part of its tasks
 
     std::uint32_t image = 0; // number of its image
     // It fits its team's guarantee together with the team's earlier jobs: it need not wait for
     // others.
     bool guaranteed = false;
-    double took_sum = 0; // s; run times of its done tasks, at the speed of an ordinary machine
+    seconds took_sum{}; // run times of its done tasks, at the speed of an ordinary machine
     int took_count = 0;
-    double backoff_until = 0;
+    time_point backoff_until{};
 
     bool over() const { return cancelled || ended || end_writing; }
     // Tasks neither done, queued nor on a machine that may be placed: none before the job is ready.
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -6,7 +6,7 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
+using net::steady_now;
 
 job_cache::job_cache(net::asio::io_context &io, store::key_value_client &state)
     : io_(io), state_(state), wake_(io), served_(io) {}
@@ -175,7 +175,7 @@
     while (!stopping_) {
         if (!loaded_ || reload_) {
             if (!co_await load())
-                co_await net::sleep_s(c::state_retry_s);
+                co_await net::sleep_for(c::state_retry);
             continue;
         }
         bool gone = false;
@@ -186,9 +186,9 @@
             reload_ = true;
         else if (w)
             apply(*w);
-        co_await net::sleep_s(!w        ? c::state_retry_s
-                              : prompt_ ? c::watch_gap_s
-                                        : c::follower_watch_gap_s);
+        co_await net::sleep_for(!w        ? c::state_retry
+                                : prompt_ ? c::watch_gap
+                                          : c::follower_watch_gap);
     }
 }
 
@@ -211,9 +211,9 @@
             if (stopping_ || graph_.end_of(predecessor))
                 continue;
             (void)co_await read_ended(predecessor);
-            co_await net::sleep_s(c::predecessor_read_gap_s);
+            co_await net::sleep_for(c::predecessor_read_gap);
         }
-        co_await net::sleep_s(c::predecessor_read_gap_s);
+        co_await net::sleep_for(c::predecessor_read_gap);
     }
 }
 
@@ -221,11 +221,11 @@
 awaitable<void> job_cache::run_reads() {
     while (!stopping_) {
         if (reads_wanted_ == reads_done_ || !loaded_) {
-            co_await wake_.wait_for(loaded_ ? 1.0 : 0.1);
+            co_await wake_.wait_for(seconds{loaded_ ? 1.0 : 0.1});
             continue;
         }
         auto serving = reads_wanted_;
-        double sent = now_s();
+        auto sent = steady_now();
         bool gone = false;
         auto w = co_await state_.watch(control::jobs_prefix, revision_, 0,
                                        store::request_priority::accept, gone);
@@ -236,9 +236,9 @@
             fresh_at_ = sent;
             reads_done_ = serving;
             served_.notify();
-            co_await net::sleep_s(c::fence_gap_s);
+            co_await net::sleep_for(c::fence_gap);
         } else {
-            co_await net::sleep_s(c::state_retry_s);
+            co_await net::sleep_for(c::state_retry);
         }
     }
 }
@@ -250,18 +250,18 @@
     }
 }
 
-awaitable<bool> job_cache::catch_up(double limit_s) {
+awaitable<bool> job_cache::catch_up(seconds time_limit) {
     auto mine = ++reads_wanted_;
-    double limit = now_s() + limit_s;
+    auto limit = steady_now() + time_limit;
     wake_.notify();
     while (!stopping_ && reads_done_ < mine) {
-        double left = limit - now_s();
-        if (left <= 0)
+        auto left = limit - steady_now();
+        if (left <= seconds{0})
             co_return false;
         co_await served_.wait_for(left);
     }
     // Guards against an answer from before the process stood still.
-    co_return !stopping_ && now_s() <= limit;
+    co_return !stopping_ && steady_now() <= limit;
 }
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -2,6 +2,7 @@
 // all polls that wait.
 #pragma once
 #include "catalog/dependency_graph.hpp"
+#include "common/time.hpp"
 #include "net/async.hpp"
 #include "store/key_value_client.hpp"
 #include <deque>
@@ -30,7 +31,7 @@
 
     // Returns true once the cache is at least as new as the moment of the call; false if the
     // key-value store could not be read within the time.
-    net::awaitable<bool> catch_up(double limit_s);
+    net::awaitable<bool> catch_up(seconds time_limit);
     // Asks for a shared read without waiting for it.
     void want_read();
     const cached_job *active(const std::string &id) const;
@@ -44,13 +45,13 @@
     // Reads what is not known of the predecessors of an active job, so that its standing is as of
     // the cache's revision. False: could not be read.
     net::awaitable<bool> resolve_predecessors(std::string id);
-    // The dependencies of active jobs; its times are those of day.
-    const dependency_graph &dependencies() const { return graph_; }
+    // The dependencies of active jobs.
+    const wall_dependency_graph &dependencies() const { return graph_; }
     const std::map<std::string, cached_job> &all() const { return active_; }
     bool loaded() const { return loaded_; }
     std::uint64_t revision() const { return revision_; }
-    // Everything that was durable at this time (steady clock) is in the cache.
-    double fresh_at() const { return fresh_at_; }
+    // Everything that was durable at this time is in the cache.
+    time_point fresh_at() const { return fresh_at_; }
 
     std::function<void(const std::string &, const cached_job &)> on_active;
 
@@ -67,14 +68,14 @@
     net::asio::io_context &io_;
     store::key_value_client &state_;
     std::map<std::string, cached_job> active_;
-    dependency_graph graph_;
+    wall_dependency_graph graph_;
     std::unordered_map<std::string, wire::ended_record> ended_;
     std::deque<std::string> ended_order_;
     std::unordered_set<std::string> absent_;
     std::deque<std::string> absent_order_; // oldest first; may name some that are not in the set
     std::size_t ended_reads_ = 0;          // under way
     std::uint64_t revision_ = 0;
-    double fresh_at_ = -1e9;
+    time_point fresh_at_ = time_point::min();
     bool loaded_ = false, stopping_ = false, reload_ = false, prompt_ = false;
     std::uint64_t reads_wanted_ = 0; // number of the newest call that waits
     std::uint64_t reads_done_ = 0;   // calls up to this one are served
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -1,5 +1,6 @@
 // Every constant of the program, each with its unit and the reason for its value.
 #pragma once
+#include "common/time.hpp"
 #include <cstddef>
 #include <cstdint>
 
@@ -22,25 +23,23 @@
 
 // --- clocks ---
 inline constexpr double clock_drift = 0.0005; // ratio; how far two steady clocks may drift apart
-inline constexpr double lease_slack_s =
-    0.25; // s; covers timer steps and the 100 ms late end of a lease
+inline constexpr seconds lease_slack{
+    0.25}; // s; covers timer steps and the 100 ms late end of a lease
 
 // --- server and clients ---
-inline constexpr double isolated_s = 4.0; // s; a node without key-value store and without word from
-                                          // other nodes sends users elsewhere
-inline constexpr double progress_gap_s = 2.0; // s; counts of tasks are for display
-inline constexpr double user_request_s = 4.0; // s; users give up after 5 s, answer before that
-inline constexpr double idle_connection_s =
-    75; // s; a quiet keep-alive connection is closed after this
-inline constexpr double slow_request_s = 5.0; // s; a request must arrive whole within this
-inline constexpr double state_timeout_s =
-    1.5; // s; answers usually take 10 ms, now and then hundreds
-inline constexpr double cloud_timeout_s = 6.0; // s; renting takes longer than reading
-inline constexpr double peer_timeout_s = 0.6;  // s; a vote is worth little when it comes later
-inline constexpr double worker_timeout_s =
-    2.5;                                    // s; a command that takes longer counts as unresolved
-inline constexpr std::size_t pool_idle = 4; // connections kept open to one host
-inline constexpr int retry_after_s = 1;     // s; told to users who get 503
+inline constexpr seconds isolated_after{4.0}; // s; a node without key-value store and without word
+                                              // from other nodes sends users elsewhere
+inline constexpr seconds progress_gap{2.0};   // s; counts of tasks are for display
+inline constexpr seconds user_request{4.0};   // s; users give up after 5 s, answer before that
+inline constexpr seconds idle_connection{
+    75};                                    // s; a quiet keep-alive connection is closed after this
+inline constexpr seconds slow_request{5.0}; // s; a request must arrive whole within this
+inline constexpr seconds state_timeout{1.5}; // s; answers usually take 10 ms, now and then hundreds
+inline constexpr seconds cloud_timeout{6.0}; // s; renting takes longer than reading
+inline constexpr seconds peer_timeout{0.6};  // s; a vote is worth little when it comes later
+inline constexpr seconds worker_timeout{2.5}; // s; a command that takes longer counts as unresolved
+inline constexpr std::size_t pool_idle = 4;   // connections kept open to one host
+inline constexpr int retry_after_s = 1;       // s; told to users who get 503
 inline constexpr double command_sockets =
     0.1; // share of sockets for commands to workers; beyond it they are closed after use
 inline constexpr double back_sockets = 0.04;          // share of sockets for the other controllers
@@ -50,50 +49,62 @@
 inline constexpr double crowded_share =
     0.85; // of the listener's sockets; beyond it users are sent away and workers' are not kept
 
+inline constexpr double cloud_share = 0.9;  // share of the cloud's rate that is used
+inline constexpr seconds cloud_burst{2.0};  // the cloud permits bursts worth this long
+inline constexpr seconds budget_poll{0.05}; // between two looks for room in the cloud's budget
+inline constexpr seconds delete_retry{1.0}; // after a deletion without an answer
+inline constexpr seconds types_retry{0.5};  // between two reads of the machine types at the start
+inline constexpr seconds shared_read{1.5};  // a question waits this long for the shared read
+inline constexpr seconds cancel_round{1.5}; // kept of a user's time for the read and the answer
+inline constexpr seconds commit_least{0.2}; // a change is given at least this long
+
 // --- leadership ---
-inline constexpr double leader_lease_s =
-    3.0; // s; long enough for three renewals, short for failover
-inline constexpr double leader_renew_s = 0.75;     // s; between renewals and vote rounds
-inline constexpr double vote_length_s = 3.0;       // s; length of a vote to a leader
-inline constexpr double candidacy_s = 2.0;         // s; length of a vote to a candidate
-inline constexpr double candidacy_jitter_s = 0.35; // s; spreads candidates that saw the same end
-inline constexpr double step_down_store_silence_s =
-    4.0; // s; a leader this long without state steps down to one with it
-inline constexpr double served_s = 2.5; // s; a node whose last answer from the key-value store is
-                                        // older can't say that it is served
-inline constexpr double fresh_word_s =
-    0.25; // s; a leader steps down only on word of the key-value store that is no older
+inline constexpr seconds failover_read{1.0}; // a new leader's read of the jobs is tried anew then
+inline constexpr seconds failover_wait{1.5}; // a heartbeat waits this long for a new leader's state
+inline constexpr seconds failover_poll{0.05};      // between two looks whether it is there
+inline constexpr seconds control_loop_pause{0.02}; // least time between two rounds of the leader
+inline constexpr seconds control_loop_idle{0.2};   // most time between them without news
+inline constexpr seconds leader_lease{3.0}; // s; long enough for three renewals, short for failover
+inline constexpr seconds leader_renew{0.75};     // s; between renewals and vote rounds
+inline constexpr seconds vote_length{3.0};       // s; length of a vote to a leader
+inline constexpr seconds candidacy{2.0};         // s; length of a vote to a candidate
+inline constexpr seconds candidacy_jitter{0.35}; // s; spreads candidates that saw the same end
+inline constexpr seconds step_down_store_silence{
+    4.0}; // s; a leader this long without state steps down to one with it
+inline constexpr seconds served_within{2.5}; // s; a node whose last answer from the key-value store
+                                             // is older can't say that it is served
+inline constexpr seconds fresh_word{
+    0.25}; // s; a leader steps down only on word of the key-value store that is no older
 inline constexpr std::size_t cancels_kept =
     4000; // cancels at hand for the leader; some minutes of them, about 0.5 MB
 inline constexpr std::size_t cancels_per_answer = 400; // cancels; 50 KiB with the longest ids
-inline constexpr double step_down_unheard_s =
-    8.0; // s; a leader this long without heartbeats steps down to one with them
-inline constexpr double step_down_pause_s = 20.0; // s; it does not stand again for this long
+inline constexpr seconds step_down_unheard{
+    8.0}; // s; a leader this long without heartbeats steps down to one with them
+inline constexpr seconds step_down_pause{20.0}; // s; it does not stand again for this long
 
-inline constexpr double authority_margin_s =
-    0.1; // s; taken off every vote and lease that we rely on
+inline constexpr seconds authority_margin{0.1}; // s; taken off every vote and lease that we rely on
 
-inline constexpr double blind_margin_s =
-    3.0; // s; kept back of cancel_s for answers and commands on their way
-inline constexpr double blind_least_s =
-    4.0; // s; a leader may be without news of cancels this long at least
-inline constexpr double leader_fresh_s =
-    2.0; // s; a leader reads the jobs' records at least this often
+inline constexpr seconds blind_margin{
+    3.0}; // s; kept back of cancel_s for answers and commands on their way
+inline constexpr seconds blind_least{
+    4.0}; // s; a leader may be without news of cancels this long at least
+inline constexpr seconds leader_fresh{
+    2.0}; // s; a leader reads the jobs' records at least this often
 
 // --- key-value store ---
 inline constexpr double state_share =
     0.9; // share of the limits that all nodes together plan to use
 inline constexpr double leader_write_share = 0.85; // share of the writes that the leader may use
-inline constexpr double commit_gap_s = 0.03; // s; a transaction waits this long for others to join
-inline constexpr double fence_gap_s = 0.15;  // s; between two shared reads for waiting polls
-inline constexpr double watch_gap_s = 0.10;  // s; between two openings of the leader's long watch
-inline constexpr double follower_watch_gap_s =
-    1.0; // s; the same elsewhere: there each poll asks for its own read
+inline constexpr seconds commit_gap{0.03}; // s; a transaction waits this long for others to join
+inline constexpr seconds fence_gap{0.15};  // s; between two shared reads for waiting polls
+inline constexpr seconds watch_gap{0.10};  // s; between two openings of the leader's long watch
+inline constexpr seconds follower_watch_gap{
+    1.0}; // s; the same elsewhere: there each poll asks for its own read
 inline constexpr int watch_hold_ms = 10'000; // ms; a watch without news returns after this
-inline constexpr double write_patience_s =
-    0.4; // s; a change that waited so long is not passed by more urgent ones any more
-inline constexpr double state_retry_s = 0.25;    // s; pause after a refusal
-inline constexpr double refusal_window_s = 10.0; // s; refusals of changes are counted within it
+inline constexpr seconds write_patience{
+    0.4}; // s; a change that waited so long is not passed by more urgent ones any more
+inline constexpr seconds state_retry{0.25};    // s; pause after a refusal
+inline constexpr seconds refusal_window{10.0}; // s; refusals of changes are counted within it
 inline constexpr int refusals_for_next_limit =
     3; // refusals in the window; they show that the key-value store has its smaller limit
 inline constexpr std::size_t commit_queue = 4000; // waiting changes; beyond it users get 503
@@ -103,10 +114,9 @@
     0.4; // of the leader's writes; no more goes to placements of arrays
 inline constexpr double placed_fill =
     0.9; // share of the largest value that a placement record takes
-inline constexpr double done_gap_s =
-    1.5; // s; a done record waits this long for more tasks of its job
-inline constexpr double sweep_gap_s =
-    2.0; // s; between two searches for placement records that ended
+inline constexpr seconds done_gap{
+    1.5}; // s; a done record waits this long for more tasks of its job
+inline constexpr seconds sweep_gap{2.0}; // s; between two searches for placement records that ended
 inline constexpr std::size_t rentals_per_record = 16; // requests; about 1.5 KiB
 inline constexpr std::size_t ended_in_memory = 4000;  // ended jobs whose state is kept at hand
 inline constexpr std::size_t absent_in_memory =
@@ -115,7 +125,7 @@
     32; // reads under way for questions about single jobs; beyond it users get 503 at once
 
 // --- workers ---
-inline constexpr double worker_patience_s = 4.0; // s; a worker drops an answer that comes later
+inline constexpr seconds worker_patience{4.0}; // s; a worker drops an answer that comes later
 inline constexpr int outbound_partition_heartbeats =
     2; // heartbeats in a row that show nothing of our answers
 inline constexpr double outbound_partition_lease_share =
@@ -125,69 +135,70 @@
          // whether it hears
 inline constexpr double silent_heartbeats =
     3.0; // report intervals without a word before a machine is silent
-inline constexpr double silent_margin_s =
-    2.0; // s; added to it, a heartbeat may be retried at another node
+inline constexpr seconds silent_margin{
+    2.0}; // s; added to it, a heartbeat may be retried at another node
 inline constexpr double quiet_share =
     0.5; // of the time after which a machine is silent; longer than the longest report interval
 inline constexpr double silent_share =
     0.5; // above this share of silent machines we doubt ourselves
 inline constexpr double silent_zone_share =
     0.7; // above this share of a zone's machines it is cut off
-inline constexpr double cut_patience_s =
-    30.0; // s; beyond their leases, silent machines of a cut zone are kept
-inline constexpr double cut_return_s =
-    10.0; // s; after a cut, the time for its machines to heartbeat again
-inline constexpr double token_bump_s = 6.0; // s; least time between two raises of the token
+inline constexpr seconds cut_patience{
+    30.0}; // s; beyond their leases, silent machines of a cut zone are kept
+inline constexpr seconds cut_return{
+    10.0}; // s; after a cut, the time for its machines to heartbeat again
+inline constexpr seconds token_bump{6.0}; // s; least time between two raises of the token
 
 // --- bidding ---
-inline constexpr double preempt_cost_s = 3.0; // s; added to a bid that would stop other work
-inline constexpr double summary_gap_s = 10.0; // s; between two lines of the log about the fleet
-inline constexpr double plan_gap_s = 0.1;     // s; least time between two rounds of bids
-inline constexpr double bidder_age_s =
-    2.0; // s; what is left of running work is worked out anew at least this often
-inline constexpr double check_gap_s =
-    0.3; // s; between two looks over all machines for leases, silence and late cancels
-inline constexpr double queue_limit_s = 20.0; // s; a worker queue holds this much estimated work
+inline constexpr seconds preempt_cost{3.0};  // s; added to a bid that would stop other work
+inline constexpr seconds summary_gap{10.0};  // s; between two lines of the log about the fleet
+inline constexpr seconds plan_at_least{1.0}; // most time between two rounds of bids
+inline constexpr seconds plan_gap{0.1};      // s; least time between two rounds of bids
+inline constexpr seconds bidder_age{
+    2.0}; // s; what is left of running work is worked out anew at least this often
+inline constexpr seconds check_gap{
+    0.3}; // s; between two looks over all machines for leases, silence and late cancels
+inline constexpr seconds queue_limit{20.0}; // s; a worker queue holds this much estimated work
 inline constexpr std::size_t queue_tasks =
     6; // tasks; so many wait at most in a worker queue, however short they are
 inline constexpr int bids_per_round = 2000; // bids; a round stops there and goes on in the next, so
                                             // that heartbeats are answered between
 inline constexpr double control_loop_rest =
     1.0; // ratio; after a round the leader answers for as long as the round took
-inline constexpr double idle_rebid_s = 1.0; // s; a machine idle for this long has tasks bid again
-inline constexpr double speed_gain = 0.15;  // weight of the newest measurement of a machine's speed
+inline constexpr seconds idle_rebid{1.0};  // s; a machine idle for this long has tasks bid again
+inline constexpr double speed_gain = 0.15; // weight of the newest measurement of a machine's speed
 inline constexpr double class_gain = 0.1; // weight of the newest measurement of a class's estimates
 inline constexpr double speed_floor = 0.1;  // a machine slower than this counts as this fast
 inline constexpr double slow_machine = 0.6; // a machine slower than this is given back
 inline constexpr int slow_samples = 5;      // tasks; measurements needed before it counts as slow
-inline constexpr double default_estimate_s = 30.0; // s; where the owner gives no estimate
+inline constexpr seconds default_estimate{30.0}; // s; where the owner gives no estimate
 inline constexpr std::size_t suspect_machines =
     2; // machines; a job that failed on so many and ran on none is suspect
 inline constexpr std::size_t undecided_jobs =
     3; // jobs; a machine on which so many failed that ran nowhere else since counts as faulty
-inline constexpr double probation_s =
-    10.0; // s; a machine gets no work while it is open whose fault a failure was
-inline constexpr double proof_least_s =
-    2.0; // s; an attempt that runs for so long has not failed at its start
+inline constexpr seconds probation{
+    10.0}; // s; a machine gets no work while it is open whose fault a failure was
+inline constexpr seconds proof_least{
+    2.0}; // s; an attempt that runs for so long has not failed at its start
 inline constexpr double proof_runs = 2.0; // of the longest failed run; beyond it a job works
-inline constexpr double suspects_gap_s =
-    2.0; // s; between two records of the suspect jobs, of which nobody waits for one
-inline constexpr double job_backoff_s = 5.0; // s; first pause of a job whose tasks fail; doubles
-inline constexpr double job_backoff_max_s = 60.0; // s; longest such pause
-inline constexpr double displaced_slot_cost_s =
-    0.4; // s; added to a replica's bid for each array task it displaces
-inline constexpr double guarantee_wait_s =
-    6.0; // s; guaranteed work that would wait longer stops others
-inline constexpr double default_due_s =
-    120.0; // s; a job without deadline or aim should be done by then
-inline constexpr double starved_s = 100.0; // s; a job that waited so long without a task is served
-                                           // first: users give the largest 240 s
-inline constexpr double aged_s =
-    150.0; // s; a job past all due times that waited so long has a share of its own
+inline constexpr seconds suspects_gap{
+    2.0}; // s; between two records of the suspect jobs, of which nobody waits for one
+inline constexpr seconds job_backoff{5.0};      // s; first pause of a job whose tasks fail; doubles
+inline constexpr seconds job_backoff_max{60.0}; // s; longest such pause
+inline constexpr seconds displaced_slot_cost{
+    0.4}; // s; added to a replica's bid for each array task it displaces
+inline constexpr seconds guarantee_wait{
+    6.0}; // s; guaranteed work that would wait longer stops others
+inline constexpr seconds default_due{
+    120.0}; // s; a job without deadline or aim should be done by then
+inline constexpr seconds starved_after{100.0}; // s; a job that waited so long without a task is
+                                               // served first: users give the largest 240 s
+inline constexpr seconds aged_after{
+    150.0}; // s; a job past all due times that waited so long has a share of its own
 inline constexpr double aged_share =
     0.05; // of the slots; for the oldest such job, so that large ones end too
-inline constexpr double refused_pause_s =
-    3.0; // s; a start that was refused is tried again after this
+inline constexpr seconds refused_pause{
+    3.0}; // s; a start that was refused is tried again after this
 
 inline constexpr double cancel_delete_share =
     0.35; // of cancel_s; a machine not proven clean by then is deleted
@@ -195,30 +206,32 @@
     1.5; // ratio; notices may last this much longer than told
 
 // --- dependencies ---
-inline constexpr double chain_stage_s =
-    3.0; // s; from the last task of a job to the first of the next: heartbeat, records, commands
+inline constexpr seconds chain_stage{
+    3.0}; // s; from the last task of a job to the first of the next: heartbeat, records, commands
 inline constexpr double chain_run_margin =
     1.3; // ratio; the longest of a job's tasks to the usual one
-inline constexpr double predecessor_read_gap_s =
-    0.1; // s; between two reads for predecessors that ended before this process knew of them
+inline constexpr seconds predecessor_read_gap{
+    0.1}; // s; between two reads for predecessors that ended before this process knew of them
 
 // --- fleet ---
-inline constexpr double types_refresh_s = 45.0;    // s; prices move slowly
-inline constexpr double machine_list_poll_s = 5.0; // s; between two lists of the machines
-inline constexpr double refused_capacity_s =
-    25.0;                                // s; an offer that was refused is not asked for again
+inline constexpr seconds service_class_memory{900}; // spare room is kept for a class seen within it
+inline constexpr seconds rental_retry{1.0};         // after a rental request without a clear answer
+inline constexpr seconds types_refresh{45.0};       // s; prices move slowly
+inline constexpr seconds machine_list_poll{5.0};    // s; between two lists of the machines
+inline constexpr seconds refused_capacity{
+    25.0};                               // s; an offer that was refused is not asked for again
 inline constexpr double boot_late = 3.0; // times startupS; a machine later than this is deleted
 inline constexpr double boot_hedge =
     1.7; // times startupS; a machine later than this is not counted on
-inline constexpr double drain_target_s = 8.0; // s; waiting work should start within this
+inline constexpr seconds drain_target{8.0}; // s; waiting work should start within this
 inline constexpr double ordinary_patience =
     5.0; // ratio; at most so much longer waits spot work before ordinary machines
-inline constexpr double rental_use_s =
-    120.0; // s; a machine is used for about so long, which its boot time adds to
-inline constexpr double idle_least_s = 15.0; // s; an idle machine is kept at least this long
+inline constexpr seconds rental_use{
+    120.0}; // s; a machine is used for about so long, which its boot time adds to
+inline constexpr seconds idle_least{15.0}; // s; an idle machine is kept at least this long
 inline constexpr double idle_boots =
     1.2; // boot times; an idle machine is kept as long as its boot cost
-inline constexpr double rent_gap_s = 2.0; // s; between two rounds of renting
+inline constexpr seconds rent_gap{2.0}; // s; between two rounds of renting
 inline constexpr int spare_replicas =
     2; // replicas of the largest service that fit at once, kept warm
 inline constexpr int fleet_limit =
--- a/src/control/answers.hpp
+++ b/src/control/answers.hpp
@@ -3,17 +3,10 @@
 #include "constants.hpp"
 #include "net/http.hpp"
 #include "wire/codec.hpp"
-#include <chrono>
 #include <string>
 
 namespace spindlecroft::control {
 
-// Time of day.
-inline double wall_s() {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
-        .count();
-}
-
 inline net::response error(int status, const std::string &what, int retry = 0) {
     return {status, wire::encode_error(what), retry, false};
 }
--- a/src/control/bidder.hpp
+++ b/src/control/bidder.hpp
@@ -1,6 +1,7 @@
 // One machine in a round of bids, or one that is about to be rented.
 #pragma once
 #include "bidding/bid.hpp"
+#include "common/time.hpp"
 #include "workers/machine.hpp"
 #include <algorithm>
 #include <map>
@@ -16,14 +17,14 @@
     const machine_type *type = nullptr;
     std::string zone;
     bool spot = false;
-    std::size_t place = 0;      // number of its type, zone and kind
-    bidding::room free;         // not held by any present or queued task
-    bidding::room critical;     // the same, work of lower priority than critical left out
-    bidding::room above_idle;   // the same, work of the lowest priority left out
-    bidding::room whole;        // what services leave to work that comes and goes
-    double work_s = 0;          // remaining and queued run time of that work
-    double boot_s = 0;          // until it is up
-    double refreshed_at = -1e9; // s
+    std::size_t place = 0;    // number of its type, zone and kind
+    bidding::room free;       // not held by any present or queued task
+    bidding::room critical;   // the same, work of lower priority than critical left out
+    bidding::room above_idle; // the same, work of the lowest priority left out
+    bidding::room whole;      // what services leave to work that comes and goes
+    seconds work{};           // remaining and queued run time of that work
+    seconds boot_time{};      // until it is up
+    std::optional<time_point> refreshed_at; // s
     int fetches = 0;
     std::uint32_t version = 0; // grows with what it holds
     std::size_t number = 0;    // its position in the round; of equal bids the first wins
@@ -32,17 +33,19 @@
     static bool holds(const std::vector<std::uint32_t> &list, std::uint32_t image) {
         return std::find(list.begin(), list.end(), image) != list.end();
     }
-    void hold(const job_spec &s, double remaining_s);
+    void hold(const job_spec &s, seconds remaining);
     bool fetch(std::uint32_t image); // false: it is there or coming already
 };
 
 struct round_bid {
     bidder *by = nullptr;
-    double finish_s = 0, queued_s = 0;
+    seconds finish_time{};
+    seconds queue_time{};
     std::uint32_t version = 0; // of the bidder when it bid
     // For a heap with the best bid on top.
     bool operator<(const round_bid &o) const {
-        return finish_s != o.finish_s ? finish_s > o.finish_s : by->number > o.by->number;
+        return finish_time != o.finish_time ? finish_time > o.finish_time
+                                            : by->number > o.by->number;
     }
 };
 
@@ -62,7 +65,7 @@
     std::set<need> full;
     // Running work of arrays by the time of its placement, for whoever has to make way.
     bool victims_known = false;
-    std::vector<std::pair<double, catalog::task_ref>> victims; // the latest first
+    std::vector<std::pair<time_point, catalog::task_ref>> victims; // the latest first
 };
 
 struct rental_offer {
--- a/src/control/cloud_duties.cpp
+++ b/src/control/cloud_duties.cpp
@@ -6,28 +6,28 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
+using net::steady_now;
 
 awaitable<net::reply> controller::cloud_call(std::shared_ptr<leadership> l, std::string method,
                                              std::string target, std::string body) {
-    while (!cloud_budget_.take(1, store::request_priority::leadership, now_s()))
-        co_await net::sleep_s(0.05);
+    while (!cloud_budget_.take(1, store::request_priority::leadership, steady_now()))
+        co_await net::sleep_for(c::budget_poll);
     // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
     // more: it would delete machines that the next one uses.
     if (!may_act(l))
         co_return net::reply{};
     net::permission permitted = [this, l] { return may_act(l); };
     auto r = co_await cloud_.call(std::move(method), std::move(target), std::move(body),
-                                  c::cloud_timeout_s, false, std::move(permitted));
+                                  c::cloud_timeout, false, std::move(permitted));
     if (r.how == net::outcome::answered && r.status == 429)
         cloud_budget_.drain();
     co_return r;
 }
 
 awaitable<void> controller::watch_cloud(std::shared_ptr<leadership> l) {
-    double next_types = now_s() + c::types_refresh_s;
+    auto next_types = steady_now() + c::types_refresh;
     while (may_act(l)) {
-        double asked = now_s();
+        auto asked = steady_now();
         std::vector<listed_machine> hosts;
         std::string after;
         bool whole = false;
@@ -50,11 +50,11 @@
             }
         }
         if (whole && may_act(l)) {
-            l->core->on_machine_list(hosts, asked, now_s());
+            l->core->on_machine_list(hosts, asked, steady_now());
             l->wake.notify();
         }
-        if (now_s() > next_types) {
-            next_types = now_s() + c::types_refresh_s;
+        if (steady_now() > next_types) {
+            next_types = steady_now() + c::types_refresh;
             auto r = co_await cloud_call(l, "GET", wire::path_machine_types, "");
             if (r.ok() && may_act(l)) {
                 try {
@@ -66,7 +66,7 @@
                 }
             }
         }
-        co_await net::sleep_s(c::machine_list_poll_s);
+        co_await net::sleep_for(c::machine_list_poll);
     }
 }
 
@@ -81,14 +81,14 @@
             a.how == net::outcome::answered &&
             (a.status == 400 || (a.status == 503 && a.body.find("capacity") != std::string::npos));
         if (a.ok())
-            l->core->on_rented(r.request, wire::parse_rented_machines(a.body), now_s());
+            l->core->on_rented(r.request, wire::parse_rented_machines(a.body), steady_now());
         else if (refused)
-            l->core->on_rent_refused(r.request, now_s());
+            l->core->on_rent_refused(r.request, steady_now());
         else
-            l->core->on_rent_unsure(r.request, now_s());
+            l->core->on_rent_unsure(r.request, steady_now());
     } catch (const wire::malformed_message &e) {
         spdlog::warn("renting: {}", e.what());
-        l->core->on_rent_unsure(r.request, now_s());
+        l->core->on_rent_unsure(r.request, steady_now());
     }
     l->wake.notify();
 }
@@ -99,9 +99,9 @@
     if (l->over || !l->core)
         co_return;
     if (a.ok()) {
-        l->core->on_deleted(names, now_s());
+        l->core->on_deleted(names, steady_now());
     } else {
-        co_await net::sleep_s(1.0);
+        co_await net::sleep_for(c::delete_retry);
         if (!l->over && l->core)
             l->core->on_delete_failed(names);
     }
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -7,19 +7,19 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
 using net::response;
+using net::steady_now;
 
 static net::server_limits limits_of(const settings::settings &s, bool back) {
     auto plan = settings::plan_sockets(s.max_connections);
-    return {back ? plan.back : plan.api, c::idle_connection_s, c::slow_request_s};
+    return {back ? plan.back : plan.api, c::idle_connection, c::slow_request};
 }
 
 controller::controller(net::asio::io_context &io, const settings::settings &s)
     : io_(io), settings_(s), sockets_(settings::plan_sockets(s.max_connections)),
       state_(io, settings_), member_(io, settings_, state_), cache_(io, state_),
       user_commits_(io, state_, settings_, "users"), cloud_(io, settings_.cloud, c::pool_idle),
-      cloud_budget_(0.9 * settings_.cloud_rps, 2.0),
+      cloud_budget_(c::cloud_share * settings_.cloud_rps, c::cloud_burst),
       api_(
           io, settings_.api, [this](net::request r) { return on_api(std::move(r)); },
           limits_of(settings_, false), "api"),
@@ -45,12 +45,12 @@
         if (j.record.cancelled)
             member_.note_cancel({id, j.version, j.record.cancelled_at});
         if (lead_ && lead_->core) {
-            lead_->core->on_job(id, j.record, j.version, now_s());
+            lead_->core->on_job(id, j.record, j.version, steady_now());
             if (auto n = lead_->cancels.find(id); n != lead_->cancels.end()) {
                 if (j.version >= n->second.revision)
                     lead_->cancels.erase(n);
                 else
-                    lead_->core->on_cancel(n->second, now_s());
+                    lead_->core->on_cancel(n->second, steady_now());
             }
             lead_->wake.notify();
         }
@@ -131,9 +131,9 @@
         return unsure("starting");
     // Cut from the key-value store while others are not: they serve better.
     // A node that hears neither it nor any other controller can't tell, and is no better.
-    if (membership::better_served_elsewhere(state_.silence(now_s()),
+    if (membership::better_served_elsewhere(state_.silence(steady_now()),
                                             member_.state_served_elsewhere(),
-                                            member_.alone_for(c::isolated_s)))
+                                            member_.alone_for(c::isolated_after)))
         return unsure("no state service");
     return {200, "{}", 0, false};
 }
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -2,6 +2,7 @@
 // together.
 #pragma once
 #include "catalog/job_cache.hpp"
+#include "common/time.hpp"
 #include "control/scheduler.hpp"
 #include "membership/member.hpp"
 #include "net/http.hpp"
@@ -28,7 +29,7 @@
     net::response ready() const;
     // The job's state as of now; nothing: could not be read. Holds nothing: never accepted.
     net::awaitable<std::optional<std::optional<job_status>>> current(std::string id);
-    net::awaitable<std::optional<store::unit_outcome>> commit(store::unit u, double limit_s);
+    net::awaitable<std::optional<store::unit_outcome>> commit(store::unit u, seconds time_limit);
     net::response cut_off() const;
     std::string rejection(const job_spec &s) const;
     // What a submission's predecessors make of it.
@@ -56,9 +57,9 @@
     net::awaitable<void> send_commands(std::shared_ptr<leadership> l, std::string machine);
     net::awaitable<net::reply> cloud_call(std::shared_ptr<leadership> l, std::string method,
                                           std::string target, std::string body);
-    bool may_renew(double now) const;
+    bool may_renew(time_point now) const;
     // What the records say of predecessors that the scheduler knows nothing of.
-    void tell_predecessor_ends(scheduler &core, double now) const;
+    void tell_predecessor_ends(scheduler &core, time_point now) const;
     void apply_cancel(const cancel_notice &n);
     bool may_act(const std::shared_ptr<leadership> &l) const;
 
@@ -75,7 +76,7 @@
     std::shared_ptr<leadership> lead_;
     std::map<std::string, scheduler::progress> progress_; // as the leader told
     bool progress_busy_ = false;
-    double progress_at_ = -1e9;
+    std::optional<time_point> progress_at_;
     bool stopping_ = false;
     net::server api_;
     net::server back_;
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -7,7 +7,7 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
+using net::steady_now;
 
 bool controller::may_act(const std::shared_ptr<leadership> &l) const {
     return !l->over && l == lead_ && member_.leading();
@@ -42,7 +42,7 @@
 
 awaitable<void> controller::fail_over(std::shared_ptr<leadership> l) {
     auto keep_trying = [&] { return may_act(l); };
-    double began = now_s();
+    auto began = steady_now();
     // The machine types: from the records, or from the cloud the first time.
     std::vector<machine_type> types;
     std::uint64_t types_version = 0;
@@ -69,7 +69,7 @@
             }
         }
         if (types.empty())
-            co_await net::sleep_s(c::state_retry_s);
+            co_await net::sleep_for(c::state_retry);
     }
     std::optional<wire::range_answer> placed, done, rentals, suspects;
     while (keep_trying() && !(placed && done && rentals && suspects)) {
@@ -82,16 +82,16 @@
         if (!rentals)
             rentals = co_await state_.list(rental_prefix, store::request_priority::leadership);
         if (!(placed && done && rentals && suspects))
-            co_await net::sleep_s(c::state_retry_s);
+            co_await net::sleep_for(c::state_retry);
     }
     // The jobs as of now: every change up to this leadership is in the cache after this.
-    while (keep_trying() && !co_await cache_.catch_up(1.0)) {
+    while (keep_trying() && !co_await cache_.catch_up(c::failover_read)) {
     }
     if (!keep_trying())
         co_return;
     auto core = std::make_unique<scheduler>(settings_, types);
-    double now = now_s();
-    core->begin(now, member_.token(), wall_s() - now);
+    auto now = steady_now();
+    core->begin(now, member_.token(), wall_clock{now, net::wall_now()});
     for (auto &[id, j] : cache_.all())
         core->load_job(id, j.record, j.version, now);
     // Guards against a record that can't be read and would leave the cluster without a leader's
@@ -148,7 +148,7 @@
     if (!types_)
         types_ = types;
     l->core = std::move(core);
-    spdlog::info("took over in {:.2f} s: {}", now_s() - began, l->core->summary());
+    spdlog::info("took over in {:.2f} s: {}", (steady_now() - began).count(), l->core->summary());
     // Holds the leadership alive until the last transaction is settled.
     net::spawn(
         io_, [](std::shared_ptr<leadership> l) -> awaitable<void> { co_await l->commits.run(); }(l),
@@ -177,7 +177,7 @@
     return store::request_priority::rest;
 }
 
-void controller::tell_predecessor_ends(scheduler &core, double now) const {
+void controller::tell_predecessor_ends(scheduler &core, time_point now) const {
     for (auto &id : core.unresolved_predecessors())
         if (auto *end = cache_.dependencies().end_of(id))
             core.on_predecessor_end(id, *end, now);
@@ -185,10 +185,11 @@
 
 // Drives the scheduler: time in, decisions out.
 awaitable<void> controller::run_control_loop(std::shared_ptr<leadership> l) {
-    double next_summary = now_s() + c::summary_gap_s, next_look = 0;
+    auto next_summary = steady_now() + c::summary_gap;
+    time_point next_look{};
     while (may_act(l)) {
         auto &core = *l->core;
-        double now = now_s();
+        auto now = steady_now();
         tell_predecessor_ends(core, now);
         core.set_state_write_rps(state_.write_limit());
         core.tick(now);
@@ -203,7 +204,8 @@
             u.result = [l, w](store::unit_outcome how, std::uint64_t revision) {
                 if (how == store::unit_outcome::lost || l->over || !l->core)
                     return;
-                l->core->on_written(w, how == store::unit_outcome::committed, revision, now_s());
+                l->core->on_written(w, how == store::unit_outcome::committed, revision,
+                                    steady_now());
                 l->wake.notify();
             };
             bool ended = w.ops.front().key.starts_with(jobs_prefix) ||
@@ -215,7 +217,7 @@
             net::spawn(io_, rent(l, r), "rent");
         // These look at every machine.
         if (now >= next_look) {
-            next_look = now + c::check_gap_s;
+            next_look = now + c::check_gap;
             if (auto names = core.take_deletions(now); !names.empty())
                 net::spawn(io_, remove(l, std::move(names)), "delete");
             if (core.wants_token_raise(now))
@@ -229,13 +231,13 @@
             else
                 net::spawn(io_, send_commands(l, m), "command");
         }
-        if (now - cache_.fresh_at() > c::leader_fresh_s)
+        if (now - cache_.fresh_at() > c::leader_fresh)
             cache_.want_read();
         std::erase_if(l->cancels, [&](auto &n) { return n.second.revision <= cache_.revision(); });
         if (now > next_summary) {
-            next_summary = now + c::summary_gap_s;
+            next_summary = now + c::summary_gap;
             std::erase_if(l->workers, [&](auto &w) {
-                return w.second.use_count() == 1 && now - w.second->used_at() > c::summary_gap_s;
+                return w.second.use_count() == 1 && now - w.second->used_at() > c::summary_gap;
             });
             spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands", core.summary(),
                          l->commits.waiting(), l->records.waiting(), l->heartbeats_received,
@@ -243,8 +245,9 @@
             l->heartbeats_received = l->commands_sent = 0;
         }
         // Guards against rounds that follow one another while heartbeats wait for their answers.
-        co_await net::sleep_s(std::max(0.02, c::control_loop_rest * (now_s() - now)));
-        co_await l->wake.wait_for(0.2);
+        co_await net::sleep_for(
+            std::max(c::control_loop_pause, c::control_loop_rest * (steady_now() - now)));
+        co_await l->wake.wait_for(c::control_loop_idle);
     }
     // Entitlement lapsed without a word: leave nothing running on old knowledge.
     if (lead_ == l && !member_.leading())
--- a/src/control/peer_exchange.cpp
+++ b/src/control/peer_exchange.cpp
@@ -7,8 +7,8 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
 using net::response;
+using net::steady_now;
 
 awaitable<response> controller::on_peer(net::request r) {
     if (r.method != "POST" || r.target != "/member")
@@ -37,7 +37,7 @@
     if (p) {
         wire::peer_message m;
         m.texts["kind"] = "progress";
-        auto r = co_await p->call("POST", "/member", wire::encode_peer(m), c::peer_timeout_s, true);
+        auto r = co_await p->call("POST", "/member", wire::encode_peer(m), c::peer_timeout, true);
         try {
             if (r.ok()) {
                 auto a = wire::parse_peer(r.body);
@@ -52,7 +52,7 @@
             spdlog::warn("progress: {}", e.what());
         }
     }
-    progress_at_ = now_s();
+    progress_at_ = steady_now();
     progress_busy_ = false;
 }
 
@@ -69,7 +69,7 @@
             }
         }
         if (!types_)
-            co_await net::sleep_s(0.5);
+            co_await net::sleep_for(c::types_retry);
     }
 }
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -46,15 +46,15 @@
     return i == machines_.end() ? nullptr : &i->second;
 }
 
-scheduler::machine_t &scheduler::machine_of(const std::string &name, double now) {
+scheduler::machine_t &scheduler::machine_of(const std::string &name, time_point now) {
     auto [i, fresh] = machines_.try_emplace(name);
     if (fresh) {
         i->second.name = name;
         i->second.rented_at = i->second.known_at = now;
         i->second.idle_since = now;
         // Whoever answered it before us, did so before our authority began.
-        i->second.lease_bound =
-            std::max(began_, now) + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s;
+        i->second.lease_bound = std::max(began_, now) +
+                                settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
         dirty_ = true;
     }
     return i->second;
@@ -93,18 +93,18 @@
 
 // --- taking over ---
 
-void scheduler::begin(double now, std::uint64_t token, double wall_offset) {
+void scheduler::begin(time_point now, std::uint64_t token, wall_clock clock) {
     began_ = now;
-    wall_offset_ = wall_offset;
+    wall_clock_ = clock;
     token_ = first_token_ = token;
 }
 
 void scheduler::load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                         double now) {
+                         time_point now) {
     job_t j;
     j.spec = r.spec;
     j.version = version;
-    j.accepted_at = std::min(now, r.accepted_at - wall_offset_);
+    j.accepted_at = std::min(now, wall_clock_.to_steady(r.accepted_at));
     j.done.assign(r.spec.tasks, false);
     j.done_durable.assign(r.spec.tasks, false);
     j.own_priority = r.spec.priority;
@@ -144,7 +144,7 @@
 }
 
 void scheduler::load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
-                            double now) {
+                            time_point now) {
     auto &kept = segments_[name];
     kept.open = false;
     for (auto &t : tasks) {
@@ -168,7 +168,7 @@
         a.phase = attempt_phase::sent;
         a.inherited = true;
         a.created_at = now;
-        a.estimate_s = estimates_.expected_s(j->spec);
+        a.estimate = estimates_.expected_run_time(j->spec);
         a.stop_wanted = j->cancelled;
         auto &m = machine_of(t.machine, now);
         m.attempts.insert(a.task);
@@ -177,23 +177,24 @@
     }
 }
 
-void scheduler::load_unreadable_placements(double now) {
-    hold_until_ = now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s;
+void scheduler::load_unreadable_placements(time_point now) {
+    hold_until_ = now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
 }
 
 // The cloud is asked once more, and tells the machines' names.
-void scheduler::load_rental(const std::string &round, const wire::rental_record &r, double now) {
+void scheduler::load_rental(const std::string &round, const wire::rental_record &r,
+                            time_point now) {
     rental_rounds_[round].written = true;
     for (auto &q : r.requests) {
         auto &s = rentals_[q.request];
         s.what = q;
         s.round = round;
-        s.asked_at = now - std::max(0.0, now + wall_offset_ - r.at);
+        s.asked_at = now - std::max(seconds{}, wall_clock_.to_wall(now) - r.at);
         s.durable = true;
     }
 }
 
-void scheduler::loaded(double now) {
+void scheduler::loaded(time_point now) {
     for (auto &[id, j] : jobs_) {
         std::uint32_t top = 0;
         for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
@@ -213,7 +214,7 @@
 // --- jobs ---
 
 void scheduler::on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                       double now) {
+                       time_point now) {
     dirty_ = true;
     auto *j = job_of(id);
     if (!j) {
@@ -227,7 +228,7 @@
         cancel_job(*j, r.cancelled_at, now);
 }
 
-void scheduler::on_cancel(const cancel_notice &n, double now) {
+void scheduler::on_cancel(const cancel_notice &n, time_point now) {
     dirty_ = true;
     auto *j = job_of(n.job);
     if (!j || n.revision < j->version)
@@ -237,13 +238,13 @@
         cancel_job(*j, n.at, now);
 }
 
-void scheduler::cancel_job(job_t &j, double wall_at, double now) {
+void scheduler::cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now) {
     j.cancelled = true;
     // The user was told when the record was written, not when we hear of it.
     j.cancelled_at = now;
-    if (wall_at > 0)
-        j.cancelled_at =
-            std::min(now, wall_at - wall_offset_ - 2 * settings_.time_bound_s); // two clocks
+    if (told_at)
+        j.cancelled_at = std::min(now, wall_clock_.to_steady(*told_at) -
+                                           2 * settings_.clock_bound); // two clocks
     while (!j.queued.empty())
         remove_from_queue(j, j.queued.begin()->first);
     std::vector<std::uint32_t> indices;
@@ -255,7 +256,7 @@
             a.phase == attempt_phase::exited)
             release_attempt(j, i, false);
         else
-            stop_attempt(a, 0, now);
+            stop_attempt(a, seconds{});
     }
     follow(graph_.note_end(j.spec.id, {job_state::cancelled, now}), now);
 }
@@ -320,45 +321,43 @@
     dirty_ = true;
 }
 
-void scheduler::stop_attempt(attempt_t &a, double grace_s, double now) {
-    if (a.stop_wanted && grace_s >= a.grace_s)
+void scheduler::stop_attempt(attempt_t &a, seconds grace) {
+    if (a.stop_wanted && grace >= a.grace)
         return;
-    if (!a.stop_wanted)
-        a.stop_since = now;
     a.stop_wanted = true;
-    a.grace_s = grace_s;
+    a.grace = grace;
     urgent_.insert(a.machine);
 }
 
 // --- heartbeats ---
 
-scheduler::heartbeat_age scheduler::on_heartbeat(const heartbeat &r, double now, bool reply) {
+scheduler::heartbeat_age scheduler::on_heartbeat(const heartbeat &r, time_point now, bool reply) {
     if (removed_.count(r.machine))
         return heartbeat_age::dead;
     auto &m = machine_of(r.machine, now);
     set_type(m, r.type, r.zone, r.spot, r.address);
-    if (m.heard_at >= 0 && !r.newer_than(m.incarnation, m.sequence))
+    if (m.heard_at && !r.newer_than(m.incarnation, m.sequence))
         return r.incarnation == m.incarnation ? heartbeat_age::stale : heartbeat_age::dead;
     bool first = !m.up;
-    bool new_incarnation = m.heard_at >= 0 && r.incarnation > m.incarnation;
+    bool new_incarnation = m.heard_at && r.incarnation > m.incarnation;
     // Guards against ran_twice: the reply to a direct command may overtake an answer that carries a
     // start, and then does not show a task that the answer will yet begin. Only the worker's next
     // heartbeat of its own comes after that answer.
     if (!reply && (r.incarnation > m.answer_incarnation || r.sequence > m.answer_sequence))
-        m.answer_until = -1;
+        m.answer_until.reset();
     m.incarnation = r.incarnation;
     m.sequence = r.sequence;
     m.token = r.token;
     m.heard_at = now;
-    if (!reply || m.own_heartbeat_at < 0)
+    if (!reply || !m.own_heartbeat_at)
         m.own_heartbeat_at = now;
     // Guards against ran_twice: a new incarnation's lease began by itself, before any answer of
     // ours, and direct commands start tasks in it while heartbeats go unanswered.
-    if (m.incarnation_at < 0 || new_incarnation)
+    if (!m.incarnation_at || new_incarnation)
         m.incarnation_at = now;
     if (first || new_incarnation)
-        m.lease_bound = std::max(m.lease_bound,
-                                 now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s);
+        m.lease_bound = std::max(
+            m.lease_bound, now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack);
     if (first) {
         m.up = true;
         m.up_at = now;
@@ -398,33 +397,32 @@
     }
     if (!reply)
         detect_outbound_partition(m, r, new_incarnation, now);
-    if (r.reclaim_notice_s) {
-        if (m.reclaim_at < 0) {
-            m.reclaim_at = now + *r.reclaim_notice_s;
+    if (r.reclaim_notice) {
+        if (!m.reclaim_at) {
+            m.reclaim_at = now + *r.reclaim_notice;
             withdraw_unstarted(m);
             // What can't finish or save in time starts again elsewhere at once.
             for (auto &ref : m.attempts)
                 if (auto *j = job_of(ref.job))
                     if (auto i = j->live.find(ref.index); i != j->live.end()) {
                         auto &a = i->second;
-                        double ran = a.running_since >= 0 ? now - a.running_since : 0;
-                        double left = std::max(0.0, a.estimate_s - ran);
+                        seconds ran = a.ran_for(now);
+                        seconds left = std::max(seconds{}, a.estimate - ran);
                         if (a.possibly_running() && j->spec.shape == job_shape::array &&
-                            left > *r.reclaim_notice_s * c::reclaim_notice_tolerance)
-                            stop_attempt(
-                                a, std::min(*r.reclaim_notice_s, j->spec.checkpoint_duration_s),
-                                now);
+                            left > *r.reclaim_notice * c::reclaim_notice_tolerance)
+                            stop_attempt(a,
+                                         std::min(*r.reclaim_notice, j->spec.checkpoint_duration));
                     }
         }
-    } else if (m.reclaim_at >= 0) {
-        m.reclaim_at = -1;
+    } else {
+        m.reclaim_at.reset();
     }
     if (!m.attempts.empty() || !m.queue.empty())
         m.idle_since = now;
     return heartbeat_age::fresh;
 }
 
-void scheduler::reconcile_listed_task(machine_t &m, const task_status &t, double now) {
+void scheduler::reconcile_listed_task(machine_t &m, const task_status &t, time_point now) {
     auto *j = job_of(t.job);
     catalog::task_ref ref{t.job, t.index};
     auto *a = attempt_of(ref, t.attempt);
@@ -438,7 +436,7 @@
                 task_done(*j, t.index, now);
                 if (auto i = j->live.find(t.index); i != j->live.end()) {
                     if (i->second.possibly_running())
-                        stop_attempt(i->second, 0, now);
+                        stop_attempt(i->second, seconds{});
                     else
                         release_attempt(*j, t.index, false);
                 }
@@ -446,11 +444,13 @@
             // Kept until its being done is durable: losing it would lose the result.
             if (!(t.cause == exit_cause::done && j && t.index < j->spec.tasks && !j->over() &&
                   j->done[t.index] && !j->done_durable[t.index]))
-                m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, 0});
+                m.cleanup_commands.push_back(
+                    {command_kind::remove, t.job, t.index, t.attempt, seconds{}});
         } else if (j && t.index < j->spec.tasks && !j->live.count(t.index)) {
             adopt_task(m, *j, t, now);
         } else {
-            m.cleanup_commands.push_back({command_kind::stop, t.job, t.index, t.attempt, 0});
+            m.cleanup_commands.push_back(
+                {command_kind::stop, t.job, t.index, t.attempt, seconds{}});
         }
         return;
     }
@@ -461,8 +461,6 @@
     a->inherited = false;
     switch (t.state) {
     case task_state::fetching:
-        if (a->phase != attempt_phase::fetching)
-            a->fetch_since = now;
         a->phase = attempt_phase::fetching;
         break;
     case task_state::running:
@@ -471,8 +469,8 @@
             dirty_ = true;
             spdlog::debug("{}/{} runs on {} ({} {}) {:.1f} s after it was accepted, {:.1f} s after "
                           "its placement",
-                          t.job, t.index, m.name, m.type.name, m.zone, now - j->accepted_at,
-                          now - a->created_at);
+                          t.job, t.index, m.name, m.type.name, m.zone,
+                          (now - j->accepted_at).count(), (now - a->created_at).count());
         }
         failures_.machine_ran(m.name, a->created_at);
         a->phase = attempt_phase::running;
@@ -492,37 +490,38 @@
 // given to it would be lost for a lease. Its heartbeats then show neither our token nor our starts,
 // or tell of a incarnation that ended although we had answered.
 void scheduler::detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
-                                          double now) {
+                                          time_point now) {
     if (starts_seen_ ||
         (m.announced_token > 0 && r.token >= m.announced_token && !starts_ignored_)) {
-        if (starts_seen_ || m.announced_at >= 0) {
+        if (starts_seen_ || m.announced_at) {
             m.ignored_heartbeats = 0;
-            dirty_ = dirty_ || m.outbound_partition_since >= 0;
-            m.outbound_partition_since = -1;
+            dirty_ = dirty_ || m.outbound_partition_since;
+            m.outbound_partition_since.reset();
         }
-        m.announced_at = -1;
+        m.announced_at.reset();
     }
-    double round = c::worker_patience_s + 1 + 1.25 * settings_.heartbeat_interval_s;
+    seconds round = c::worker_patience + seconds{1} + 1.25 * settings_.heartbeat_interval;
     // Guards against a mark that outlives its cause: the answer that its last incarnation seemed
     // not to have got may have gone to a late copy. A incarnation that outlasts a lease was
     // answered.
-    if (m.outbound_partition_since >= 0 && !new_incarnation &&
-        now - m.incarnation_at >
-            settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s + round) {
+    if (m.outbound_partition_since && !new_incarnation &&
+        now - *m.incarnation_at >
+            settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack + round) {
         m.ignored_heartbeats = 0;
-        m.outbound_partition_since = m.announced_at = -1;
+        m.outbound_partition_since.reset();
+        m.announced_at.reset();
         dirty_ = true;
     }
     bool token_ignored =
-        m.announced_at >= 0 && r.token < m.announced_token && now - m.announced_at > round;
+        m.announced_at && r.token < m.announced_token && now - *m.announced_at > round;
     if ((starts_ignored_ || token_ignored) && ++m.ignored_heartbeats == 1)
         m.ignored_at = now;
     bool deaf = m.ignored_heartbeats >= c::outbound_partition_heartbeats &&
-                now - m.ignored_at > c::worker_patience_s;
-    if (new_incarnation && m.answered_at >= 0 &&
-        now - m.answered_at < c::outbound_partition_lease_share * settings_.lease_s)
+                now - *m.ignored_at > c::worker_patience;
+    if (new_incarnation && m.answered_at &&
+        now - *m.answered_at < c::outbound_partition_lease_share * settings_.lease_duration)
         deaf = true;
-    if (!deaf || m.outbound_partition_since >= 0)
+    if (!deaf || m.outbound_partition_since)
         return;
     spdlog::info("{}: does not hear us, gets no more work", m.name);
     m.outbound_partition_since = now;
@@ -530,7 +529,7 @@
 }
 
 // A task that runs without our knowing must count everywhere until it is stopped.
-void scheduler::adopt_task(machine_t &m, job_t &j, const task_status &t, double now) {
+void scheduler::adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now) {
     remove_from_queue(j, t.index);
     j.again.erase(t.index);
     for (; j.next_fresh <= t.index; ++j.next_fresh)
@@ -544,21 +543,22 @@
     a.phase = t.state == task_state::running         ? attempt_phase::running
               : t.state == task_state::checkpointing ? attempt_phase::checkpointing
                                                      : attempt_phase::fetching;
-    a.created_at = a.running_since = now;
-    a.estimate_s = expected_s(j);
+    a.created_at = now;
+    a.running_since = now;
+    a.estimate = expected_run_time(j);
     m.attempts.insert(a.task);
     m.touch();
     auto &kept = j.live[t.index] = std::move(a);
-    stop_attempt(kept, 0, now);
+    stop_attempt(kept, seconds{});
     spdlog::info("{}: adopted {}/{} attempt {}", m.name, t.job, t.index, t.attempt);
 }
 
 void scheduler::reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
-                                      double now) {
+                                      time_point now) {
     dirty_ = true;
     auto index = a.task.index;
     auto cause = t.cause;
-    double ran = a.running_since >= 0 ? now - a.running_since : -1;
+    seconds ran = a.ran_for(now);
     a.phase = attempt_phase::exited;
     a.cause = cause;
     bool forget = true;
@@ -567,18 +567,18 @@
         failures_.machine_ran(m.name, a.created_at);
         m.use_image(j.spec.image, j.spec.image_gb, now);
         if (j.spec.shape == job_shape::array && !j.over()) {
-            if (ran > 0) {
-                double normal = ran * std::max(m.speed, c::speed_floor);
+            if (ran > seconds{}) {
+                seconds normal = ran * std::max(m.speed, c::speed_floor);
                 // Compared with the job's other tasks, since estimates err a job at a time.
                 if (j.took_count >= 3) {
-                    double mean = j.took_sum / j.took_count;
+                    seconds mean = j.took_sum / j.took_count;
                     double sample = std::clamp(mean / ran, 0.1, 3.0);
                     m.speed = (1 - c::speed_gain) * m.speed + c::speed_gain * sample;
                     ++m.speed_samples;
                 }
                 j.took_sum += normal;
                 ++j.took_count;
-                estimates_.measured(j.spec.job_class, j.spec.estimate_s, normal);
+                estimates_.measured(j.spec.job_class, j.spec.estimate, normal);
             }
             task_done(j, index, now);
             forget = false;
@@ -591,12 +591,12 @@
         break;
     case exit_cause::no_room:
     case exit_cause::busy:
-        m.refused_until = now + c::refused_pause_s;
+        m.refused_until = now + c::refused_pause;
         clear_queue(m);
         break;
     case exit_cause::unknown:
         // Its user may not have uploaded it yet.
-        j.backoff_until = now + c::refused_pause_s;
+        j.backoff_until = now + c::refused_pause;
         break;
     case exit_cause::stopped:
     case exit_cause::none:
@@ -604,12 +604,12 @@
     }
     if (forget) {
         release_attempt(j, index, true);
-        m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, 0});
+        m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, seconds{}});
     }
 }
 
-void scheduler::task_failed(machine_t &m, job_t &j, const attempt_t &a, double now) {
-    double ran = a.running_since >= 0 ? now - a.running_since : 0;
+void scheduler::task_failed(machine_t &m, job_t &j, const attempt_t &a, time_point now) {
+    seconds ran = a.ran_for(now);
     if (failures_.attempt_failed({j.spec.id, m.name, ran, job_runs(j)}, now)) {
         spdlog::info("{}: fails wherever it runs, retried one task at a time", j.spec.id);
         while (!j.queued.empty()) {
@@ -627,11 +627,11 @@
 bool scheduler::job_runs(const job_t &j) const {
     if (j.done_seen > 0)
         return true;
-    double proof = failures_.proof_s(j.spec.id);
+    seconds proof = failures_.proof_duration(j.spec.id);
     // Reported so again and again: without heartbeats nobody knows whether it still runs.
     return std::any_of(j.live.begin(), j.live.end(), [&](auto &i) {
         auto &a = i.second;
-        return a.running_since >= 0 && a.running_seen - a.running_since > proof;
+        return a.running_since && *a.running_seen - *a.running_since > proof;
     });
 }
 
@@ -659,7 +659,7 @@
     }
 }
 
-bool scheduler::may_place(const job_t &j, double now) const {
+bool scheduler::may_place(const job_t &j, time_point now) const {
     if (j.waiting() == 0 || now < j.backoff_until)
         return false;
     if (!failures_.is_suspect(j.spec.id))
@@ -667,7 +667,7 @@
     return now >= failures_.retry_at(j.spec.id) && j.queued.empty() && j.live.empty();
 }
 
-void scheduler::load_suspects(const std::vector<std::string> &jobs, double now) {
+void scheduler::load_suspects(const std::vector<std::string> &jobs, time_point now) {
     suspects_written_ = jobs;
     for (auto &id : jobs)
         if (job_of(id))
@@ -676,7 +676,7 @@
 
 // The attempt is not in a heartbeat newer than all we knew.
 void scheduler::reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
-                                       double now) {
+                                       time_point now) {
     auto index = a.task.index;
     switch (a.phase) {
     case attempt_phase::committing:
@@ -715,7 +715,7 @@
     }
 }
 
-void scheduler::task_done(job_t &j, std::uint32_t index, double now) {
+void scheduler::task_done(job_t &j, std::uint32_t index, time_point now) {
     if (j.over() || j.done[index])
         return;
     remove_from_queue(j, index);
@@ -731,7 +731,8 @@
 
 // --- commands ---
 
-std::vector<command> scheduler::commands(machine_t &m, bool in_answer, double now, bool may_start) {
+std::vector<command> scheduler::commands(machine_t &m, bool in_answer, time_point now,
+                                         bool may_start) {
     std::vector<command> out;
     // A start that may still arrive must not follow a reap: it would start the attempt anew.
     bool forgetting = !m.has_unacknowledged_command(now);
@@ -746,7 +747,7 @@
         if (auto *j = job_of(ref.job))
             if (auto i = j->live.find(ref.index); i != j->live.end()) {
                 auto &a = i->second;
-                bool stops_now = a.stop_wanted && a.grace_s <= 0;
+                bool stops_now = a.stop_wanted && a.grace <= seconds{};
                 if (a.possibly_running() && !stops_now)
                     room.take(j->spec);
             }
@@ -765,7 +766,7 @@
         case attempt_phase::sent:
             if (a.stop_wanted) {
                 if (a.phase == attempt_phase::sent)
-                    out.push_back({command_kind::stop, ref.job, ref.index, a.number, 0});
+                    out.push_back({command_kind::stop, ref.job, ref.index, a.number, seconds{}});
                 break;
             }
             if (a.inherited || !m.usable() || j->over() || !may_start)
@@ -780,16 +781,16 @@
                 a.sent_incarnation = m.incarnation;
                 a.sent_sequence = m.sequence;
             }
-            starts.push_back({command_kind::start, ref.job, ref.index, a.number, 0});
+            starts.push_back({command_kind::start, ref.job, ref.index, a.number, seconds{}});
             break;
         case attempt_phase::fetching:
         case attempt_phase::running:
             if (a.stop_wanted)
-                out.push_back({command_kind::stop, ref.job, ref.index, a.number, a.grace_s});
+                out.push_back({command_kind::stop, ref.job, ref.index, a.number, a.grace});
             break;
         case attempt_phase::checkpointing:
-            if (a.stop_wanted && a.grace_s <= 0)
-                out.push_back({command_kind::stop, ref.job, ref.index, a.number, 0});
+            if (a.stop_wanted && a.grace <= seconds{})
+                out.push_back({command_kind::stop, ref.job, ref.index, a.number, seconds{}});
             break;
         case attempt_phase::exited:
             break;
@@ -798,13 +799,13 @@
     if (in_answer && !starts.empty()) {
         m.answer_incarnation = m.incarnation;
         m.answer_sequence = m.sequence;
-        m.answer_until = now + c::worker_patience_s * (1 + c::clock_drift) + c::lease_slack_s;
+        m.answer_until = now + c::worker_patience * (1 + c::clock_drift) + c::lease_slack;
     }
     out.insert(out.end(), starts.begin(), starts.end());
     return out;
 }
 
-std::vector<command> scheduler::commands_for_answer(const std::string &machine, double now,
+std::vector<command> scheduler::commands_for_answer(const std::string &machine, time_point now,
                                                     bool starts) {
     auto i = machines_.find(machine);
     return i == machines_.end() ? std::vector<command>() : commands(i->second, true, now, starts);
@@ -824,7 +825,7 @@
     return true;
 }
 
-std::vector<command> scheduler::direct_commands_for(const std::string &machine, double now,
+std::vector<command> scheduler::direct_commands_for(const std::string &machine, time_point now,
                                                     bool may_start) {
     auto i = machines_.find(machine);
     if (i == machines_.end() || !i->second.up || i->second.commands_open > 0)
@@ -874,8 +875,8 @@
     i->second.unresolved_incarnation = std::max(i->second.unresolved_incarnation, incarnation);
 }
 
-bool scheduler::wants_token_raise(double now) {
-    if (now - last_raise_ < c::token_bump_s)
+bool scheduler::wants_token_raise(time_point now) {
+    if (!elapsed(last_raise_, c::token_bump, now))
         return false;
     for (auto &[name, m] : machines_)
         if (m.commands_open == 0 && m.has_unacknowledged_direct_command() &&
@@ -886,19 +887,19 @@
     return false;
 }
 
-void scheduler::answered(const std::string &machine, heartbeat_age age, double now) {
+void scheduler::answered(const std::string &machine, heartbeat_age age, time_point now) {
     auto i = machines_.find(machine);
     if (i == machines_.end())
         return;
     auto &m = i->second;
-    m.lease_bound =
-        std::max(m.lease_bound, now + settings_.lease_s * (1 + c::clock_drift) + c::lease_slack_s);
+    m.lease_bound = std::max(m.lease_bound, now + settings_.lease_duration * (1 + c::clock_drift) +
+                                                c::lease_slack);
     // Guards against a machine taken for outbound-partitioned: the answer to a late copy reaches
     // nobody.
     if (age != heartbeat_age::fresh)
         return;
     m.answered_at = now;
-    if (m.announced_at < 0 && m.token < token_) {
+    if (!m.announced_at && m.token < token_) {
         m.announced_token = token_;
         m.announced_at = now;
     }
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -3,6 +3,7 @@
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
+#include "common/time.hpp"
 #include "control/bidder.hpp"
 #include "fairness/chain_order.hpp"
 #include "fairness/team_order.hpp"
@@ -56,12 +57,12 @@
 struct tracked_rental {
     rental_request what;
     std::string round;                 // the record that names it
-    double asked_at = 0;               // s, steady clock; when the intent arose
+    time_point asked_at{};             // s, steady clock; when the intent arose
     bool durable = false;              // the name is written: the cloud may be asked
     bool asking = false;               // a request is under way
     bool answered = false;             // machines are known
     std::vector<std::string> machines; // not yet listed
-    double next_try = 0;               // s
+    time_point next_try{};             // s
 };
 
 class scheduler {
@@ -70,27 +71,28 @@
 
     // --- taking over ---
     // wall_offset: time of day minus the steady clock, for records that outlive this process.
-    void begin(double now, std::uint64_t token, double wall_offset);
+    void begin(time_point now, std::uint64_t token, wall_clock clock);
     void load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                  double now);
+                  time_point now);
     void load_done(const std::string &record, const std::vector<wire::done_part> &parts);
     void load_placed(const std::string &segment, const std::vector<wire::placed_task> &tasks,
-                     double now);
+                     time_point now);
     // A placement record can't be read: what it names may run anywhere until each worker has
     // reported or its lease is over, and nothing starts before.
-    void load_unreadable_placements(double now);
-    void load_rental(const std::string &round, const wire::rental_record &r, double now);
+    void load_unreadable_placements(time_point now);
+    void load_rental(const std::string &round, const wire::rental_record &r, time_point now);
     // Jobs that an earlier leader found to fail wherever they ran.
-    void load_suspects(const std::vector<std::string> &jobs, double now);
-    void loaded(double now);
+    void load_suspects(const std::vector<std::string> &jobs, time_point now);
+    void loaded(time_point now);
 
     // --- events ---
     void on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                double now);
+                time_point now);
     // A cancel that is durable, told before the job's record comes.
-    void on_cancel(const cancel_notice &n, double now);
+    void on_cancel(const cancel_notice &n, time_point now);
     // How a predecessor ended, as its durable record says; the time is that of day.
-    void on_predecessor_end(const std::string &id, const catalog::predecessor_end &end, double now);
+    void on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
+                            time_point now);
     // Predecessors of which neither an active nor an ended record is known here. Until they are,
     // the jobs that need them don't start.
     std::set<std::string> unresolved_predecessors() const;
@@ -102,17 +104,17 @@
         dead,  // of an earlier incarnation, or of a machine that is gone
     };
     // reply: it came in the answer to a direct command, not as a heartbeat of its own.
-    heartbeat_age on_heartbeat(const heartbeat &r, double now, bool reply = false);
+    heartbeat_age on_heartbeat(const heartbeat &r, time_point now, bool reply = false);
     // Orders to give in the answer to the newest heartbeat.
     // starts: whether tasks may be started now.
-    std::vector<command> commands_for_answer(const std::string &machine, double now,
+    std::vector<command> commands_for_answer(const std::string &machine, time_point now,
                                              bool starts = true);
     // Neither the heartbeat nor what is possibly running names a task.
     bool holds_nothing(const heartbeat &r) const;
     // The answer was given: the worker's lease may now last until then.
-    void answered(const std::string &machine, heartbeat_age age, double now);
+    void answered(const std::string &machine, heartbeat_age age, time_point now);
     // Orders for a direct command; marks the machine until the command is resolved.
-    std::vector<command> direct_commands_for(const std::string &machine, double now,
+    std::vector<command> direct_commands_for(const std::string &machine, time_point now,
                                              bool starts = true);
     // Whether every start among the commands is still wanted.
     bool starts_wanted(const std::vector<command> &commands) const;
@@ -121,28 +123,29 @@
                             std::uint64_t incarnation);
     void on_types(std::vector<machine_type> types);
     // A complete list of machines, asked for at asked_at.
-    void on_machine_list(const std::vector<listed_machine> &hosts, double asked_at, double now);
+    void on_machine_list(const std::vector<listed_machine> &hosts, time_point asked_at,
+                         time_point now);
     void on_rented(const std::string &request, const std::vector<std::string> &machines,
-                   double now);
-    void on_rent_refused(const std::string &request, double now);
-    void on_rent_unsure(const std::string &request, double now);
-    void on_deleted(const std::vector<std::string> &machines, double now);
+                   time_point now);
+    void on_rent_refused(const std::string &request, time_point now);
+    void on_rent_unsure(const std::string &request, time_point now);
+    void on_deleted(const std::vector<std::string> &machines, time_point now);
     void on_delete_failed(const std::vector<std::string> &machines);
-    void on_written(const durable_write &w, bool ok, std::uint64_t revision, double now);
-    void tick(double now);
+    void on_written(const durable_write &w, bool ok, std::uint64_t revision, time_point now);
+    void tick(time_point now);
     // Changes a second that the key-value store allows.
     void set_state_write_rps(double rps) { settings_.state_write_rps = rps; }
 
     // --- decisions ---
     // room: how many records that can wait may be given out now; what waits longer covers more.
-    std::vector<durable_write> take_writes(double now, std::size_t room = 1000);
-    std::vector<std::string> take_deletions(double now);
-    std::vector<rental_request> take_rentals(double now);
+    std::vector<durable_write> take_writes(time_point now, std::size_t room = 1000);
+    std::vector<std::string> take_deletions(time_point now);
+    std::vector<rental_request> take_rentals(time_point now);
     // Machines to which commands should go at once.
     std::vector<std::string> take_urgent();
     // A command to it is under way already: it is to be given out again.
     void keep_urgent(const std::string &machine) { urgent_.insert(machine); }
-    bool wants_token_raise(double now);
+    bool wants_token_raise(time_point now);
 
     // --- views ---
     struct progress {
@@ -163,101 +166,101 @@
     using attempt_t = catalog::attempt;
 
     job_t *job_of(const std::string &id);
-    machine_t &machine_of(const std::string &name, double now);
+    machine_t &machine_of(const std::string &name, time_point now);
     attempt_t *attempt_of(const catalog::task_ref &t, std::uint64_t number);
     const machine_type *type_of(const std::string &name) const;
     void set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
                   const std::string &address);
 
-    void reconcile_listed_task(machine_t &m, const task_status &t, double now);
+    void reconcile_listed_task(machine_t &m, const task_status &t, time_point now);
     void reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
-                               double now);
+                               time_point now);
     void reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
-                                double now);
-    void task_done(job_t &j, std::uint32_t index, double now);
-    void task_failed(machine_t &m, job_t &j, const attempt_t &a, double now);
+                                time_point now);
+    void task_done(job_t &j, std::uint32_t index, time_point now);
+    void task_failed(machine_t &m, job_t &j, const attempt_t &a, time_point now);
     // An attempt that runs for long enough, or is done, shows that the job works.
     bool job_runs(const job_t &j) const;
     // Draws the conclusions about machines and jobs on which attempts failed.
     void review_failures();
     void quarantine_faulty();
     // A suspect job is retried one task at a time.
-    bool may_place(const job_t &j, double now) const;
-    void write_suspects(std::vector<durable_write> &out, double now);
+    bool may_place(const job_t &j, time_point now) const;
+    void write_suspects(std::vector<durable_write> &out, time_point now);
     void release_attempt(job_t &j, std::uint32_t index, bool again);
-    void stop_attempt(attempt_t &a, double grace_s, double now);
-    void cancel_job(job_t &j, double wall_at, double now);
+    void stop_attempt(attempt_t &a, seconds grace);
+    void cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now);
     // Work that saves may do so before it makes room; other work would only lose the time.
-    static double grace_of(const job_spec &s) {
-        return s.checkpoint_interval_s > 0 ? s.checkpoint_duration_s : 0;
+    static seconds grace_of(const job_spec &s) {
+        return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
     }
-    void clear_machine(machine_t &m, bool gone, double now);
-    void remove_machine(const std::string &name, double now);
+    void clear_machine(machine_t &m, bool gone);
+    void remove_machine(const std::string &name, time_point now);
     void clear_queue(machine_t &m);
     void withdraw_unstarted(machine_t &m);
     void remove_from_queue(job_t &j, std::uint32_t index);
     void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
-                                   double now);
-    void adopt_task(machine_t &m, job_t &j, const task_status &t, double now);
-    std::vector<command> commands(machine_t &m, bool in_answer, double now, bool may_start);
+                                   time_point now);
+    void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
+    std::vector<command> commands(machine_t &m, bool in_answer, time_point now, bool may_start);
     void request_deletion(machine_t &m, const char *why);
 
-    void check_leases(double now);
-    void check_cancelled(double now);
-    void check_machines(double now);
-    void plan_bids(double now);
-    void start_queued(machine_t &m, double now);
-    bool bid_once(job_t &j, bid_round &round, double now);
+    void check_leases(time_point now);
+    void check_cancelled(time_point now);
+    void check_machines(time_point now);
+    void plan_bids(time_point now);
+    void start_queued(machine_t &m, time_point now);
+    bool bid_once(job_t &j, bid_round &round, time_point now);
     // What the machine bids for one task of the job; nothing: no room, or not in time.
     std::optional<round_bid> bid_of(const job_t &j, bidder &b, const std::vector<char> &places,
-                                    double expected, bool some_failed, double now) const;
-    std::optional<round_bid> best_bid(const job_t &j, bid_round &round, double now);
+                                    seconds expected, bool some_failed, time_point now) const;
+    std::optional<round_bid> best_bid(const job_t &j, bid_round &round, time_point now);
     // The places (type, zone, kind) where one more task of the job may be now.
     std::vector<char> places_for(const job_t &j) const;
     std::size_t place_of(const std::string &type, const std::string &zone, bool spot);
     std::uint32_t image_number(const std::string &image);
     // Tasks of the latest array for which such a replica would take the room.
     int displaced_slots(const bidder &b, const job_spec &s) const;
-    bidder *preempt_for_guarantee(const job_t &j, bid_round &round, double now);
+    bidder *preempt_for_guarantee(const job_t &j, bid_round &round, time_point now);
     // The machines that may get work now, with what they hold brought up to date.
-    std::vector<bidder *> make_bidders(double now);
+    std::vector<bidder *> make_bidders(time_point now);
     // For how long a machine that has not reported can be called booting. After a failover even
     // machines that are up have not reported yet.
-    double boot_age(const machine_t &m, double now) const;
-    void refresh_bidder(bidder &b, double now);
-    void rebid(double now);
-    void plan_fleet(double now);
+    seconds boot_age(const machine_t &m, time_point now) const;
+    void refresh_bidder(bidder &b, time_point now);
+    void rebid(time_point now);
+    void plan_fleet(time_point now);
     std::optional<rental_offer> cheapest_offer(const job_spec &s, bool spot,
                                                const std::set<std::string> *zones,
-                                               double now) const;
-    void rent(const rental_offer &o, int count, double now);
-    void fleet_for_services(std::vector<bidder> &fleet, double now);
-    void fleet_for_arrays(std::vector<bidder> &fleet, double now);
+                                               time_point now) const;
+    void rent(const rental_offer &o, int count, time_point now);
+    void fleet_for_services(std::vector<bidder> &fleet, time_point now);
+    void fleet_for_arrays(std::vector<bidder> &fleet, time_point now);
     // How much longer than for spot machines work waits before ordinary ones are rented for it.
     double ordinary_patience(const job_spec &s) const;
-    void return_idle(double now);
+    void return_idle(time_point now);
     void count_usage();
     void mark_guaranteed();
     bool type_allowed(const job_spec &s, const std::string &type) const;
-    double expected_s(const job_t &j) const;
-    fairness::waiting_job waiting_job_of(const job_t &j, double now) const;
-    durable_write end_write(const job_t &j, double now);
+    seconds expected_run_time(const job_t &j) const;
+    fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
+    durable_write end_write(const job_t &j, time_point now);
     // --- dependencies (engine_dependencies.cpp) ---
-    void add_dependencies(job_t &j, double now);
-    void follow(const catalog::dependency_graph::changes &changes, double now);
-    double chain_duration_s(const job_t &j) const;
+    void add_dependencies(job_t &j, time_point now);
+    void follow(const catalog::dependency_graph::changes &changes, time_point now);
+    seconds chain_duration(const job_t &j) const;
     std::optional<fairness::chain_member> chain_member_of(const std::string &id) const;
     void inherit_along_chains();
-    void note_own_end(const durable_write &end, double now);
+    void note_own_end(const durable_write &end, time_point now);
     void take_inherited(const std::string &id, const fairness::inherited &from);
-    void on_placements_written(const durable_write &w, bool ok, double now);
-    void write_placements(std::vector<durable_write> &out, double now);
+    void on_placements_written(const durable_write &w, bool ok, time_point now);
+    void write_placements(std::vector<durable_write> &out, time_point now);
     std::string open_done_record(std::size_t bytes);
     std::size_t most_record_bytes() const;
-    void note_done(job_t &j, std::uint32_t index, double now);
-    void write_done(std::vector<durable_write> &out, double now, std::size_t &room);
-    void on_done_written(const durable_write &w, bool ok, double now);
-    void sweep_segments(double now);
+    void note_done(job_t &j, std::uint32_t index, time_point now);
+    void write_done(std::vector<durable_write> &out, time_point now, std::size_t &room);
+    void on_done_written(const durable_write &w, bool ok, time_point now);
+    void sweep_segments(time_point now);
     void clean_up(const std::string &key);
     void write_rentals(std::vector<durable_write> &out);
 
@@ -275,15 +278,15 @@
         bool written = false, busy = false;
     };
     std::map<std::string, rental_round> rental_rounds_;
-    std::map<std::string, double> removed_; // machines that are gone, with the time
-    std::map<std::string, double> refused_; // offers without capacity, until when
+    std::map<std::string, time_point> removed_; // machines that are gone, with the time
+    std::map<std::string, time_point> refused_; // offers without capacity, until when
     std::set<std::string> sold_out_;   // offers whose last answer was not all that was asked for
     std::map<std::string, int> asked_; // machines asked for by offer, not answered yet
     static std::string offer_key(const std::string &type, const std::string &zone, bool spot);
     workers::failure_ledger failures_;
     std::vector<std::string> suspects_written_; // as the record at the key-value store has them
     bool suspects_busy_ = false;
-    double suspects_at_ = -1e9; // s; when the record was last written
+    std::optional<time_point> suspects_at_; // s; when the record was last written
     std::vector<durable_write> cleanup_;
     // Placements of any jobs share records, filled one after another, so that a round of placements
     // costs one change at the key-value store, however many jobs it touches.
@@ -300,7 +303,7 @@
         std::size_t bytes = 0;
         bool busy = false, open = true, dirty = false;
         bool too_large = false; // to be written again under the present limits
-        double since = 0;       // s; when it became dirty
+        time_point since{};     // s; when it became dirty
     };
     std::map<std::string, done_record> done_records_;
     std::string open_done_;
@@ -308,23 +311,28 @@
     std::string open_segment_[2];               // of arrays; of services, which stay for long
     std::deque<catalog::task_ref> unplaced_[2]; // attempts that no record covers yet
     std::uint64_t segment_counter_ = 0;
-    double last_sweep_ = -1e9, next_placement_ = -1e9; // s
+    std::optional<time_point> last_sweep_;
+    std::optional<time_point> next_placement_; // s
     std::set<std::string> urgent_;
     std::map<std::string, job_spec> services_seen_; // largest recent replica of each class
-    std::map<std::string, double> services_at_;
+    std::map<std::string, time_point> services_at_;
     std::optional<job_spec> typical_; // the latest array
 
     std::uint64_t token_ = 0, first_token_ = 0;
     std::uint64_t counter_ = 0;
     std::uint64_t rental_counter_ = 0, rental_round_ = 0;
-    double rental_round_at_ = -1e9; // s
-    double began_ = 0, wall_offset_ = 0;
+    std::optional<time_point> rental_round_at_; // s
+    time_point began_{};
+    wall_clock wall_clock_;
     bool ready_ = false;
-    double hold_until_ = -1e9; // s; no task is placed before
+    std::optional<time_point> hold_until_; // s; no task is placed before
     bool dirty_ = true;
-    double last_plan_ = -1e9, last_fleet_ = -1e9, last_rebid_ = -1e9, last_raise_ = -1e9;
-    std::map<std::string, double> zone_doubt_until_; // s
-    std::set<std::string> spare_;                    // machines kept as warm room
+    std::optional<time_point> last_plan_;
+    std::optional<time_point> last_fleet_;
+    std::optional<time_point> last_rebid_;
+    std::optional<time_point> last_raise_;
+    std::map<std::string, time_point> zone_doubt_until_;
+    std::set<std::string> spare_; // machines kept as warm room
     struct place {
         std::string type, zone;
         bool spot = false;
@@ -332,7 +340,7 @@
     std::vector<place> places_;
     std::map<std::string, std::uint32_t> image_numbers_;
     std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
-    double last_check_ = -1e9;               // s
+    std::optional<time_point> last_check_;   // s
     std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
     bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
 };
--- a/src/control/scheduler_dependencies.cpp
+++ b/src/control/scheduler_dependencies.cpp
@@ -13,7 +13,7 @@
 
 // Guards against too_early and orphaned after a failover: readiness comes from durable records
 // alone, and a job with a predecessor that is not known yet is neither ready nor cancelled.
-void scheduler::add_dependencies(job_t &j, double now) {
+void scheduler::add_dependencies(job_t &j, time_point now) {
     j.ready_at = j.accepted_at;
     if (j.spec.predecessors.empty())
         return;
@@ -26,23 +26,23 @@
     j.ready = stands == catalog::standing::ready;
     j.ready_at = now;
     if (stands == catalog::standing::cancelled)
-        cancel_job(j, 0, now);
+        cancel_job(j, std::nullopt, now);
 }
 
-void scheduler::on_predecessor_end(const std::string &id, const catalog::predecessor_end &end,
-                                   double now) {
-    auto steady = end;
-    steady.at = end.at > 0 ? std::min(now, end.at - wall_offset_) : now;
+void scheduler::on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
+                                   time_point now) {
+    catalog::predecessor_end steady{end.state, now};
+    steady.at = end.at ? std::min(now, wall_clock_.to_steady(*end.at)) : now;
     follow(graph_.note_end(id, steady), now);
 }
 
 // The end that we wrote ourselves.
-void scheduler::note_own_end(const durable_write &end, double now) {
+void scheduler::note_own_end(const durable_write &end, time_point now) {
     auto record = wire::parse_ended(end.ops.back().value);
     on_predecessor_end(end.job, {record.state, record.at}, now);
 }
 
-void scheduler::follow(const catalog::dependency_graph::changes &changes, double now) {
+void scheduler::follow(const catalog::dependency_graph::changes &changes, time_point now) {
     for (auto &id : changes.ready)
         if (auto *j = job_of(id)) {
             j->ready = true;
@@ -52,7 +52,7 @@
     // None of them was ready, so none has a task.
     for (auto &id : changes.cancelled)
         if (auto *j = job_of(id); j && !j->cancelled)
-            cancel_job(*j, 0, now);
+            cancel_job(*j, std::nullopt, now);
 }
 
 std::set<std::string> scheduler::unresolved_predecessors() const {
@@ -61,7 +61,7 @@
 
 // From its readiness to its end: fetching the image, and as many waves as its team's limit makes
 // of its tasks.
-double scheduler::chain_duration_s(const job_t &j) const {
+seconds scheduler::chain_duration(const job_t &j) const {
     auto &s = j.spec;
     double tasks = s.tasks - j.done_seen, waves = 1;
     if (auto *team = teams_.find(s.team)) {
@@ -74,8 +74,8 @@
     for (auto &t : types_)
         if (type_allowed(s, t.name) && t.fetch_gb_per_s > 0)
             slowest = slowest > 0 ? std::min(slowest, t.fetch_gb_per_s) : t.fetch_gb_per_s;
-    double fetch_s = slowest > 0 ? s.image_gb / slowest : 0;
-    return c::chain_stage_s + fetch_s + waves * c::chain_run_margin * expected_s(j);
+    seconds fetch_time{slowest > 0 ? s.image_gb / slowest : 0};
+    return c::chain_stage + fetch_time + waves * c::chain_run_margin * expected_run_time(j);
 }
 
 std::optional<fairness::chain_member> scheduler::chain_member_of(const std::string &id) const {
@@ -84,9 +84,9 @@
         return {};
     fairness::chain_member member;
     member.priority = j->own_priority;
-    member.duration_s = chain_duration_s(*j);
-    if (double own = j->spec.deadline_s.value_or(0); own > 0) {
-        double latest = own;
+    member.duration = chain_duration(*j);
+    if (auto own = j->spec.deadline.value_or(seconds{}); own > seconds{}) {
+        seconds latest = own;
         for (auto &o : settings_.objectives)
             if (o.job_class == j->spec.job_class)
                 latest = std::max(latest, own * o.times);
--- a/src/control/scheduler_fleet.cpp
+++ b/src/control/scheduler_fleet.cpp
@@ -18,7 +18,7 @@
 // The cheapest place for such a task that was not refused of late.
 std::optional<rental_offer> scheduler::cheapest_offer(const job_spec &s, bool spot,
                                                       const std::set<std::string> *zones,
-                                                      double now) const {
+                                                      time_point now) const {
     std::optional<rental_offer> best;
     for (auto &t : types_) {
         if (!type_allowed(s, t.name))
@@ -41,7 +41,7 @@
                 sold_out_.count(key))
                 continue;
             // Boot time is paid for and waited for.
-            double per_slot = price / slots * (1 + t.boot_s / c::rental_use_s);
+            double per_slot = price / slots * (1 + t.boot_time / c::rental_use);
             if (!best || per_slot < best->price_per_slot * 0.999)
                 best = rental_offer{&t, z, spot, slots, per_slot};
         }
@@ -49,7 +49,7 @@
     return best;
 }
 
-void scheduler::rent(const rental_offer &o, int count, double now) {
+void scheduler::rent(const rental_offer &o, int count, time_point now) {
     // Wishes of one round for the same kind of machine share a request, and all requests of a round
     // a record, as far as it holds.
     asked_[offer_key(o.type->name, o.zone, o.spot)] += count;
@@ -80,7 +80,7 @@
     s.asked_at = now;
 }
 
-void scheduler::fleet_for_services(std::vector<bidder> &fleet, double now) {
+void scheduler::fleet_for_services(std::vector<bidder> &fleet, time_point now) {
     auto fits_on = [&](bidder &b, const job_spec &s) {
         return (!b.spot || s.spot) && type_allowed(s, b.type->name) &&
                (!s.zone || *s.zone == b.zone) && b.critical.fits(s);
@@ -97,7 +97,7 @@
         b.zone = offer->zone;
         b.free = b.critical =
             b.whole = {offer->type->cpus, offer->type->gpus, offer->type->memory_gb};
-        b.hold(s, 0);
+        b.hold(s, seconds{});
         fleet.push_back(std::move(b));
         return true;
     };
@@ -121,7 +121,7 @@
                 if (j.spec.spread && zone_count[b.zone] >= j.zone_cap())
                     continue;
                 if (fits_on(b, j.spec)) {
-                    b.hold(j.spec, 0);
+                    b.hold(j.spec, seconds{});
                     ++zone_count[b.zone];
                     done = true;
                     break;
@@ -142,7 +142,7 @@
     // Warm room, so that a new replica of a class seen lately starts at once.
     spare_.clear();
     for (auto &[cls, s] : services_seen_) {
-        if (now - services_at_[cls] > 900)
+        if (now - services_at_[cls] > c::service_class_memory)
             continue;
         std::map<std::string, int> per_zone;
         for (int k = 0; k < settings_.ops.spare_replicas; ++k) {
@@ -155,7 +155,7 @@
                       displaced_slots(b, s) < displaced_slots(*best, s))))
                     best = &b;
             if (best) {
-                best->hold(s, 0);
+                best->hold(s, seconds{});
                 ++per_zone[best->zone];
                 if (best->m)
                     spare_.insert(best->m->name);
@@ -183,12 +183,13 @@
     return std::clamp(ordinary / spot, 1.0, c::ordinary_patience);
 }
 
-void scheduler::fleet_for_arrays(std::vector<bidder> &fleet, double now) {
+void scheduler::fleet_for_arrays(std::vector<bidder> &fleet, time_point now) {
     // Work that comes and goes, as far as its teams' limits let it run, by what a task needs. Kinds
     // are kept apart: room for small tasks is none for large ones.
     struct kind {
         const job_spec *spec = nullptr;
-        double tasks = 0, work_s = 0;
+        double tasks = 0;
+        seconds work{};
     };
     std::map<std::string, kind> kinds;
     std::map<std::string, double> team_cpus;
@@ -201,11 +202,11 @@
         double n = j.waiting() + static_cast<double>(j.queued.size());
         if (failures_.is_suspect(id))
             n = std::min(n, 1.0); // no room is rented for what fails anyway
-        double w = n * expected_s(j);
+        seconds w = n * expected_run_time(j);
         for (auto &[i, a] : j.live)
             if (a.holds_resources()) {
-                double ran = a.running_since >= 0 ? now - a.running_since : 0;
-                w += std::max(0.2 * a.estimate_s, a.estimate_s - ran);
+                seconds ran = a.ran_for(now);
+                w += std::max(0.2 * a.estimate, a.estimate - ran);
                 ++n;
             }
         if (n == 0)
@@ -227,18 +228,18 @@
                                     j.spec.gpus, types, j.spec.zone.value_or(""), j.spec.spot)];
         k.spec = &j.spec;
         k.tasks += allowed;
-        k.work_s += w * allowed / n;
+        k.work += w * allowed / n;
     }
     for (auto &[name, k] : kinds) {
         auto &s = *k.spec;
-        double average = k.work_s / k.tasks;
-        auto slots_for = [&, tasks = k.tasks, work = k.work_s](double target) {
+        seconds average = k.work / k.tasks;
+        auto slots_for = [&, tasks = k.tasks, work = k.work](seconds target) {
             return std::min(tasks, std::ceil(work / (target + average)));
         };
-        double need = slots_for(settings_.ops.drain_target_s);
+        double need = slots_for(settings_.ops.drain_target);
         // Work that may use spot machines waits longer before ordinary ones are paid for: by as
         // much as they are dearer.
-        double spare_wait = need - slots_for(settings_.ops.drain_target_s * ordinary_patience(s));
+        double spare_wait = need - slots_for(settings_.ops.drain_target * ordinary_patience(s));
         for (auto &b : fleet)
             while (need > 0 && type_allowed(s, b.type->name) && (!s.zone || *s.zone == b.zone) &&
                    (!b.spot || s.spot) && b.whole.fits(s)) {
@@ -271,17 +272,17 @@
     }
 }
 
-void scheduler::return_idle(double now) {
+void scheduler::return_idle(time_point now) {
     for (auto &[name, m] : machines_) {
         if (!m.up || m.deleting || !m.attempts.empty() || !m.queue.empty() || spare_.count(name))
             continue;
-        double keep = std::max(c::idle_least_s, c::idle_boots * m.type.boot_s);
+        seconds keep = std::max(c::idle_least, c::idle_boots * m.type.boot_time);
         if (now - m.idle_since > keep)
             request_deletion(m, "idle");
     }
 }
 
-void scheduler::plan_fleet(double now) {
+void scheduler::plan_fleet(time_point now) {
     std::vector<bidder> fleet; // copies: what is planned here is no vote
     for (auto *b : make_bidders(now))
         fleet.push_back(*b);
--- a/src/control/scheduler_machines.cpp
+++ b/src/control/scheduler_machines.cpp
@@ -10,7 +10,7 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-void scheduler::clear_machine(machine_t &m, bool gone, double now) {
+void scheduler::clear_machine(machine_t &m, bool gone) {
     clear_queue(m);
     auto refs = m.attempts;
     for (auto &ref : refs) {
@@ -23,14 +23,13 @@
         if (gone || a.possibly_running())
             release_attempt(*j, ref.index, true);
     }
-    (void)now;
 }
 
-void scheduler::remove_machine(const std::string &name, double now) {
+void scheduler::remove_machine(const std::string &name, time_point now) {
     auto i = machines_.find(name);
     if (i == machines_.end())
         return;
-    clear_machine(i->second, true, now);
+    clear_machine(i->second, true);
     failures_.forget_machine(name);
     bidders_.erase(name);
     machines_.erase(name);
@@ -48,10 +47,10 @@
     withdraw_unstarted(m);
 }
 
-std::vector<std::string> scheduler::take_deletions(double now) {
+std::vector<std::string> scheduler::take_deletions(time_point now) {
     std::vector<std::string> out;
     for (auto &[name, m] : machines_)
-        if (m.deleting && m.delete_sent_at < 0 &&
+        if (m.deleting && !m.delete_sent_at &&
             out.size() < static_cast<std::size_t>(c::deletes_per_request)) {
             m.delete_sent_at = now;
             out.push_back(name);
@@ -59,7 +58,7 @@
     return out;
 }
 
-void scheduler::on_deleted(const std::vector<std::string> &machines, double now) {
+void scheduler::on_deleted(const std::vector<std::string> &machines, time_point now) {
     for (auto &name : machines)
         remove_machine(name, now);
 }
@@ -67,15 +66,15 @@
 void scheduler::on_delete_failed(const std::vector<std::string> &machines) {
     for (auto &name : machines)
         if (auto i = machines_.find(name); i != machines_.end())
-            i->second.delete_sent_at = -1;
+            i->second.delete_sent_at.reset();
 }
 
 void scheduler::on_types(std::vector<machine_type> types) {
     types_ = std::move(types);
 }
 
-void scheduler::on_machine_list(const std::vector<listed_machine> &hosts, double asked_at,
-                                double now) {
+void scheduler::on_machine_list(const std::vector<listed_machine> &hosts, time_point asked_at,
+                                time_point now) {
     std::set<std::string> listed;
     for (auto &h : hosts) {
         listed.insert(h.id);
@@ -83,26 +82,26 @@
             continue; // an old list
         auto &m = machine_of(h.id, now);
         set_type(m, h.type, h.zone, h.spot, h.address);
-        if (m.listed_at < 0) {
+        if (!m.listed_at) {
             m.listed_at = now;
             if (!m.up)
-                m.rented_at = std::min(m.rented_at, now - h.age_s);
+                m.rented_at = std::min(m.rented_at, now - h.age);
         }
-        if (h.state == machine_state::running && m.running_at < 0)
+        if (h.state == machine_state::running && !m.running_at)
             m.running_at = now;
         if (h.state == machine_state::failed) {
-            clear_machine(m, true, now);
+            clear_machine(m, true);
             request_deletion(m, "failed");
         }
     }
     // A list describes a time at most twice the usual lag ago. A machine that existed before then
     // and is not listed is gone.
-    double described = asked_at - 2 * settings_.list_lag_s - 1;
+    auto described = asked_at - 2 * settings_.list_lag - seconds{1};
     std::vector<std::string> gone;
     for (auto &[name, m] : machines_) {
         // Guards against giving up machines that were rented late: many requests wait for the
         // cloud's limit, and the machine is younger than the wish for it.
-        double since = m.listed_at >= 0 ? m.listed_at : m.known_at;
+        auto since = m.listed_at.value_or(m.known_at);
         if (!listed.count(name) && since < described)
             gone.push_back(name);
     }
@@ -112,11 +111,11 @@
     }
     // Names are not used again; late words about a machine end after a few lease times.
     std::erase_if(removed_, [&](auto &r) {
-        return now - r.second > 10 * (settings_.lease_s + settings_.list_lag_s);
+        return now - r.second > 10 * (settings_.lease_duration + settings_.list_lag);
     });
 }
 
-std::vector<rental_request> scheduler::take_rentals(double now) {
+std::vector<rental_request> scheduler::take_rentals(time_point now) {
     std::vector<rental_request> out;
     for (auto &[request, s] : rentals_)
         if (s.durable && !s.asking && !s.answered && s.next_try <= now) {
@@ -129,7 +128,7 @@
 }
 
 void scheduler::on_rented(const std::string &request, const std::vector<std::string> &machines,
-                          double now) {
+                          time_point now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
@@ -147,7 +146,7 @@
     }
     auto key = offer_key(s.what.type, s.what.zone, s.what.spot);
     if (static_cast<int>(machines.size()) < s.what.count) {
-        refused_[key] = now + c::refused_capacity_s;
+        refused_[key] = now + c::refused_capacity;
         sold_out_.insert(key);
     } else {
         sold_out_.erase(key);
@@ -155,26 +154,26 @@
     dirty_ = true;
 }
 
-void scheduler::on_rent_refused(const std::string &request, double now) {
+void scheduler::on_rent_refused(const std::string &request, time_point now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
     auto &s = i->second;
     auto key = offer_key(s.what.type, s.what.zone, s.what.spot);
-    refused_[key] = now + c::refused_capacity_s;
+    refused_[key] = now + c::refused_capacity;
     sold_out_.insert(key);
     s.asking = false;
     s.answered = true; // with no machines
     s.machines.clear();
-    last_fleet_ = -1e9; // look for another offer at once
+    last_fleet_.reset(); // look for another offer at once
 }
 
-void scheduler::on_rent_unsure(const std::string &request, double now) {
+void scheduler::on_rent_unsure(const std::string &request, time_point now) {
     auto i = rentals_.find(request);
     if (i == rentals_.end())
         return;
     i->second.asking = false;
-    i->second.next_try = now + 1.0;
+    i->second.next_try = now + c::rental_retry;
 }
 
 } // namespace spindlecroft::control
--- a/src/control/scheduler_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -10,12 +10,12 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-void bidder::hold(const job_spec &s, double remaining_s) {
+void bidder::hold(const job_spec &s, seconds remaining) {
     free.take(s);
     if (s.shape == job_shape::service) {
         whole.take(s);
     } else {
-        work_s += remaining_s;
+        work += remaining;
     }
     if (s.priority == priority_class::critical)
         critical.take(s);
@@ -36,8 +36,8 @@
 }
 
 // The owner's estimate, corrected by what was measured of the class and of this very job.
-double scheduler::expected_s(const job_t &j) const {
-    double prior = estimates_.expected_s(j.spec);
+seconds scheduler::expected_run_time(const job_t &j) const {
+    seconds prior = estimates_.expected_run_time(j.spec);
     return (prior + j.took_sum) / (1 + j.took_count);
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-void scheduler::refresh_bidder(bidder &b, double now) {
+void scheduler::refresh_bidder(bidder &b, time_point now) {
     auto &m = *b.m;
     m.changed = false;
     b.refreshed_at = now;
@@ -138,7 +138,7 @@
     b.spot = m.spot;
     b.place = m.place;
     b.free = b.critical = b.above_idle = b.whole = {m.type.cpus, m.type.gpus, m.type.memory_gb};
-    b.work_s = 0;
+    b.work = seconds{};
     b.fetches = 0;
     b.cached.clear();
     b.coming.clear();
@@ -152,29 +152,29 @@
         if (i == j->live.end() || !i->second.holds_resources())
             continue;
         auto &a = i->second;
-        double ran = a.running_since >= 0 ? now - a.running_since : 0;
+        seconds ran = a.ran_for(now);
         // Past its estimate: as much again as a fifth of it, rather than nothing.
-        b.hold(j->spec, std::max(a.estimate_s - ran, 0.2 * a.estimate_s));
+        b.hold(j->spec, std::max(a.estimate - ran, 0.2 * a.estimate));
         if (a.phase != attempt_phase::running && a.phase != attempt_phase::checkpointing)
             b.fetch(j->image);
     }
     for (auto &t : m.queue)
         if (auto *j = job_of(t.task.job)) {
-            b.hold(j->spec, t.estimate_s);
+            b.hold(j->spec, t.estimate);
             b.fetch(j->image);
         }
 }
 
-double scheduler::boot_age(const machine_t &m, double now) const {
-    double age = now - m.rented_at;
+seconds scheduler::boot_age(const machine_t &m, time_point now) const {
+    seconds age = now - m.rented_at;
     // Guards against deleting the whole fleet as never up, right after a failover.
-    double finding_us = c::silent_heartbeats * settings_.heartbeat_interval_s + c::silent_margin_s;
+    seconds finding_us = c::silent_heartbeats * settings_.heartbeat_interval + c::silent_margin;
     if (now - began_ < finding_us)
-        age = std::min(age, m.type.boot_s);
+        age = std::min(age, m.type.boot_time);
     return age;
 }
 
-std::vector<bidder *> scheduler::make_bidders(double now) {
+std::vector<bidder *> scheduler::make_bidders(time_point now) {
     std::vector<bidder *> out;
     out.reserve(machines_.size());
     for (auto &[name, m] : machines_) {
@@ -182,18 +182,18 @@
             continue;
         if (m.speed_samples >= c::slow_samples && m.speed < c::slow_machine)
             continue;
-        double boot_s = 0;
+        seconds boot_time{};
         if (!m.up) {
-            double age = boot_age(m, now);
-            if (age > c::boot_hedge * m.type.boot_s)
+            seconds age = boot_age(m, now);
+            if (age > c::boot_hedge * m.type.boot_time)
                 continue; // late: nothing is promised in its name
-            boot_s = std::max(1.0, m.type.boot_s * 1.1 - age);
+            boot_time = std::max(seconds{1}, m.type.boot_time * 1.1 - age);
         }
         auto &b = bidders_[name];
         b.m = &m;
-        b.boot_s = boot_s;
+        b.boot_time = boot_time;
         // What nothing has changed on only grows older; that need not be exact.
-        if (m.changed || now - b.refreshed_at > c::bidder_age_s)
+        if (m.changed || !b.refreshed_at || now - *b.refreshed_at > c::bidder_age)
             refresh_bidder(b, now);
         out.push_back(&b);
     }
@@ -209,8 +209,8 @@
 }
 
 std::optional<round_bid> scheduler::bid_of(const job_t &j, bidder &b,
-                                           const std::vector<char> &places, double expected,
-                                           bool some_failed, double now) const {
+                                           const std::vector<char> &places, seconds expected,
+                                           bool some_failed, time_point now) const {
     auto &s = j.spec;
     if (!places[b.place] || !b.m->takes_work(now))
         return {};
@@ -228,32 +228,33 @@
         return {};
     } else {
         // Work of the lowest priority makes room where waiting for it would take longer.
-        bool waits =
-            b.boot_s <= 0 && !b.free.fits(s) && b.work_s > c::preempt_cost_s * b.whole.slots(s);
+        bool waits = b.boot_time <= seconds{} && !b.free.fits(s) &&
+                     b.work > c::preempt_cost * b.whole.slots(s);
         preempting = waits && s.priority != priority_class::low && b.above_idle.fits(s);
     }
     auto offer = bidding::make_bid(
-        b.m->speed, b.type->fetch_gb_per_s, s, b.free, b.whole, preempting ? 0 : b.work_s, b.boot_s,
-        expected, bidder::holds(b.cached, j.image) || bidder::holds(b.coming, j.image), b.fetches);
-    if (offer.queued_s > c::queue_limit_s)
+        b.m->speed, b.type->fetch_gb_per_s, s, b.free, b.whole, preempting ? seconds{} : b.work,
+        b.boot_time, expected, bidder::holds(b.cached, j.image) || bidder::holds(b.coming, j.image),
+        b.fetches);
+    if (offer.queue_time > c::queue_limit)
         return {};
     // Guards against a leader that is busy with bids alone: the tasks of a large sweep fill every
     // queue by the thousand, and all of them are bid again each second.
-    if (offer.queued_s > b.boot_s && b.m->queue.size() >= c::queue_tasks)
+    if (offer.queue_time > b.boot_time && b.m->queue.size() >= c::queue_tasks)
         return {};
-    round_bid r{&b, offer.finish_s(), preempting ? 0 : offer.queued_s, b.version};
+    round_bid r{&b, offer.finish_time(), preempting ? seconds{} : offer.queue_time, b.version};
     if (preempting)
-        r.finish_s += c::preempt_cost_s;
+        r.finish_time += c::preempt_cost;
     // Between equals, a replica goes where it spoils least room for work that comes and goes.
     if (s.shape == job_shape::service)
-        r.finish_s += c::displaced_slot_cost_s * displaced_slots(b, s);
+        r.finish_time += c::displaced_slot_cost * displaced_slots(b, s);
     return r;
 }
 
 // The lowest bid among all machines.
-std::optional<round_bid> scheduler::best_bid(const job_t &j, bid_round &round, double now) {
+std::optional<round_bid> scheduler::best_bid(const job_t &j, bid_round &round, time_point now) {
     auto &s = j.spec;
-    double expected = expected_s(j);
+    seconds expected = expected_run_time(j);
     auto places = places_for(j);
     auto failed = failures_.failed_machines(s.id);
     bool some_failed = failed > 0 && failed < round.bidders.size();
@@ -271,7 +272,7 @@
         // Where its tasks may be changes with each, and a bid may fall when another holds room.
         for (auto *b : round.bidders)
             if (auto r = bid_of(j, *b, places, expected, some_failed, now))
-                if (!best || r->finish_s < best->finish_s)
+                if (!best || r->finish_time < best->finish_time)
                     best = r;
     } else {
         auto [i, fresh] = round.books.try_emplace(s.id);
@@ -309,14 +310,14 @@
     return best;
 }
 
-bool scheduler::bid_once(job_t &j, bid_round &round, double now) {
+bool scheduler::bid_once(job_t &j, bid_round &round, time_point now) {
     auto &s = j.spec;
     if (j.waiting() == 0)
         return false;
     auto offer = best_bid(j, round, now);
     auto *best = offer ? offer->by : nullptr;
     bool first = false;
-    if ((!best || offer->queued_s > c::guarantee_wait_s) && j.guaranteed &&
+    if ((!best || offer->queue_time > c::guarantee_wait) && j.guaranteed &&
         teams_.within_guarantee(s))
         if (auto *b = preempt_for_guarantee(j, round, now)) {
             best = b;
@@ -327,7 +328,7 @@
     std::uint32_t index = 0;
     if (!j.pop_waiting(index))
         return false;
-    double estimate = expected_s(j) / std::max(best->m->speed, c::speed_floor);
+    seconds estimate = expected_run_time(j) / std::max(best->m->speed, c::speed_floor);
     workers::queued_task t{{s.id, index}, s.priority, estimate};
     auto &q = best->m->queue;
     // First in, first out among equals; higher priority goes before, and so does work for which
@@ -348,7 +349,7 @@
 
 // A team's guaranteed work finds no room soon: the latest work that another team runs beyond its
 // own guarantee is stopped for it (PROTOCOL, "Preemption").
-bidder *scheduler::preempt_for_guarantee(const job_t &j, bid_round &round, double now) {
+bidder *scheduler::preempt_for_guarantee(const job_t &j, bid_round &round, time_point now) {
     auto &s = j.spec;
     // Most of the time nobody is beyond its guarantee; then no machine need be looked at.
     auto beyond = [&](const std::string &team) {
@@ -399,7 +400,7 @@
             continue;
         stopping_[o.team] += o.cpus;
         ++preempted_tasks_;
-        stop_attempt(a, grace_of(o), now);
+        stop_attempt(a, grace_of(o));
         return &at->second;
     }
     return nullptr;
@@ -408,8 +409,8 @@
 // A machine has nothing in its queue while tasks wait in queues elsewhere: all of those are bid
 // again. Bidding again only as many as the idle room holds left replicas in the queues of machines
 // that boot late, and queues out of their team's order (round g5).
-void scheduler::rebid(double now) {
-    if (now - last_rebid_ < c::idle_rebid_s)
+void scheduler::rebid(time_point now) {
+    if (!elapsed(last_rebid_, c::idle_rebid, now))
         return;
     bool waiting = false, idle = false;
     for (auto &[name, m] : machines_) {
@@ -426,45 +427,46 @@
             clear_queue(m);
 }
 
-fairness::waiting_job scheduler::waiting_job_of(const job_t &j, double now) const {
+fairness::waiting_job scheduler::waiting_job_of(const job_t &j, time_point now) const {
     fairness::waiting_job w;
-    double expected = expected_s(j);
+    seconds expected = expected_run_time(j);
     // The deadline counts from the submission, everything else from when the job was ready.
-    double own = j.spec.deadline_s.value_or(0), waited = now - j.ready_at;
-    double late_ready = j.ready_at - j.accepted_at;
-    auto due = [&](double s) {
-        if (s > 0)
-            w.due_in_s.push_back(s - waited);
+    auto own = j.spec.deadline.value_or(seconds{});
+    seconds waited = now - j.ready_at;
+    seconds late_ready = j.ready_at - j.accepted_at;
+    auto due = [&](seconds s) {
+        if (s > seconds{})
+            w.due_in.push_back(s - waited);
     };
-    auto deadline = [&](double s) {
-        if (s > 0)
-            w.due_in_s.push_back(s - late_ready - waited);
+    auto deadline = [&](seconds s) {
+        if (s > seconds{})
+            w.due_in.push_back(s - late_ready - waited);
     };
     deadline(own);
     if (j.inherited_first_due) {
-        w.due_in_s.push_back(*j.inherited_first_due - now);
-        w.due_in_s.push_back(*j.inherited_last_due - now);
+        w.due_in.push_back(*j.inherited_first_due - now);
+        w.due_in.push_back(*j.inherited_last_due - now);
     }
     // What is aimed at for its class: a job late for the first aim can be in time for the next.
     for (auto &o : settings_.objectives)
         if (o.job_class == j.spec.job_class) {
             deadline(own * o.times);
-            if (o.within_s > 0)
-                due(o.kind == "wait" ? o.within_s + expected : o.within_s);
+            if (o.within > seconds{})
+                due(o.kind == "wait" ? o.within + expected : o.within);
         }
-    if (w.due_in_s.empty())
-        due(c::default_due_s);
-    std::sort(w.due_in_s.begin(), w.due_in_s.end());
-    w.waited_s = waited;
+    if (w.due_in.empty())
+        due(c::default_due);
+    std::sort(w.due_in.begin(), w.due_in.end());
+    w.waited = waited;
     w.begun = j.done_seen > 0 || !j.live.empty();
-    w.longest_s = expected;
+    w.longest = expected;
     // Of those that run, half is left on average; those done, but not yet durably, hold nothing.
     w.held = static_cast<double>(j.live.size()) - static_cast<double>(j.done_seen - j.done_count);
-    w.work_s = expected * (j.waiting() + static_cast<double>(j.queued.size()) + 0.5 * w.held);
+    w.work = expected * (j.waiting() + static_cast<double>(j.queued.size()) + 0.5 * w.held);
     return w;
 }
 
-void scheduler::plan_bids(double now) {
+void scheduler::plan_bids(time_point now) {
     if (now < hold_until_)
         return;
     rebid(now);
@@ -536,7 +538,7 @@
             start_queued(m, now);
 }
 
-void scheduler::start_queued(machine_t &m, double now) {
+void scheduler::start_queued(machine_t &m, time_point now) {
     if (!m.up || !m.usable() || m.silent || !m.takes_work(now))
         return;
     m.startable = false;
@@ -590,10 +592,10 @@
                 return;
             bool at_once = true;
             for (auto *a : victims) {
-                double grace = grace_of(job_of(a->task.job)->spec);
-                at_once = at_once && grace <= 0;
+                seconds grace = grace_of(job_of(a->task.job)->spec);
+                at_once = at_once && grace <= seconds{};
                 ++preempted_tasks_;
-                stop_attempt(*a, grace, now);
+                stop_attempt(*a, grace);
             }
             // Its placement is written while the others are being stopped; the start follows the
             // commands to stop, in the same message if need be.
@@ -611,7 +613,7 @@
         a.number = (token_ << 20) + ++counter_;
         a.machine = m.name;
         a.created_at = now;
-        a.estimate_s = t.estimate_s;
+        a.estimate = t.estimate;
         m.attempts.insert(a.task);
         m.idle_since = now;
         j->live[t.task.index] = std::move(a);
@@ -621,7 +623,7 @@
 
 // --- time passes ---
 
-void scheduler::check_leases(double now) {
+void scheduler::check_leases(time_point now) {
     for (auto &[name, m] : machines_) {
         if (now <= m.lease_bound || m.attempts.empty())
             continue;
@@ -636,7 +638,7 @@
     }
 }
 
-void scheduler::check_cancelled(double now) {
+void scheduler::check_cancelled(time_point now) {
     for (auto &[id, j] : jobs_) {
         if (!j.cancelled || j.live.empty())
             continue;
@@ -644,15 +646,16 @@
             auto m = machines_.find(a.machine);
             if (m == machines_.end() || m->second.deleting)
                 continue;
-            if (now - j.cancelled_at > c::cancel_delete_share * settings_.cancel_s)
+            if (now - j.cancelled_at > c::cancel_delete_share * settings_.cancel_deadline)
                 request_deletion(m->second, "a cancelled task may still be there");
-            else if (now - m->second.heard_at > settings_.heartbeat_interval_s / 2)
+            else if (!m->second.heard_at ||
+                     now - *m->second.heard_at > settings_.heartbeat_interval / 2)
                 urgent_.insert(a.machine);
         }
     }
 }
 
-void scheduler::check_machines(double now) {
+void scheduler::check_machines(time_point now) {
     struct tally {
         double up = 0, quiet = 0;
         // Many at once: rather they, or we, are cut off than dead.
@@ -660,16 +663,16 @@
     };
     std::map<std::string, tally> zones;
     tally all;
-    double limit = c::silent_heartbeats * settings_.heartbeat_interval_s + c::silent_margin_s;
+    seconds limit = c::silent_heartbeats * settings_.heartbeat_interval + c::silent_margin;
     auto silent_for = [&](const machine_t &m) {
         // Listed as running without a word to us counts from then. Guards against feeding a machine
         // that reaches no controller while our commands reach it: its lease ends with all we give.
-        double since = m.up ? std::max(m.own_heartbeat_at, began_) : m.running_at;
-        return since >= 0 ? now - since : 0.0;
+        auto since = m.up ? std::max(m.own_heartbeat_at.value_or(began_), began_) : m.running_at;
+        return since ? now - *since : seconds{};
     };
     for (auto &[name, m] : machines_) {
         m.silent = silent_for(m) > limit;
-        if ((!m.up && m.running_at < 0) || m.deleting)
+        if ((!m.up && !m.running_at) || m.deleting)
             continue;
         for (auto *t : {&all, &zones[m.zone]}) {
             ++t->up;
@@ -685,26 +688,27 @@
     // After a cut the machines come back one after another.
     for (auto &[zone, t] : zones)
         if (t.doubt(2, c::silent_zone_share))
-            zone_doubt_until_[zone] = now + c::cut_return_s;
+            zone_doubt_until_[zone] = now + c::cut_return;
     for (auto &[name, m] : machines_) {
         if (m.deleting)
             continue;
-        double age = boot_age(m, now);
+        seconds age = boot_age(m, now);
         // In a zone that is cut off, tasks go on until their leases end, and the machines are of
         // use again after the cut: deleting them at once would end work for nothing.
         bool doubt = all_doubt || zone_doubt_until_[m.zone] > now;
-        if (m.silent && (!doubt || silent_for(m) > limit + settings_.lease_s + c::cut_patience_s)) {
+        if (m.silent &&
+            (!doubt || silent_for(m) > limit + settings_.lease_duration + c::cut_patience)) {
             request_deletion(m, "silent");
-        } else if (!m.up && m.known_type && m.running_at < 0 &&
-                   age > c::boot_late * m.type.boot_s + 5) {
+        } else if (!m.up && m.known_type && !m.running_at &&
+                   age > c::boot_late * m.type.boot_time + seconds{5}) {
             // Not if it is listed as running: then it is we who don't hear it, as after a failover
             // in a cut, and it counts as silent.
             request_deletion(m, "never came up");
-        } else if (m.reclaim_at >= 0 && (now > m.reclaim_at || m.attempts.empty())) {
+        } else if (m.reclaim_at && (now > *m.reclaim_at || m.attempts.empty())) {
             request_deletion(m, "taken back");
-        } else if (m.outbound_partition_since >= 0 &&
-                   now - m.outbound_partition_since >
-                       c::outbound_partition_leases * settings_.lease_s) {
+        } else if (m.outbound_partition_since &&
+                   now - *m.outbound_partition_since >
+                       c::outbound_partition_leases * settings_.lease_duration) {
             // Whatever was there has lost its lease; what an earlier leader sent is proven gone
             // only by this, since the machine never shows our token.
             request_deletion(m, "does not hear us");
@@ -717,22 +721,23 @@
     }
 }
 
-void scheduler::tick(double now) {
+void scheduler::tick(time_point now) {
     if (!ready_)
         return;
-    if (now - last_check_ >= c::check_gap_s) {
+    if (elapsed(last_check_, c::check_gap, now)) {
         last_check_ = now;
         check_leases(now);
         check_cancelled(now);
         review_failures();
         check_machines(now);
     }
-    if ((dirty_ && now - last_plan_ >= c::plan_gap_s) || now - last_plan_ >= 1.0) {
+    if ((dirty_ && elapsed(last_plan_, c::plan_gap, now)) ||
+        elapsed(last_plan_, c::plan_at_least, now)) {
         dirty_ = false;
         last_plan_ = now;
         plan_bids(now);
     }
-    if (now - last_fleet_ >= c::rent_gap_s) {
+    if (elapsed(last_fleet_, c::rent_gap, now)) {
         last_fleet_ = now;
         plan_fleet(now);
     }
--- a/src/control/scheduler_records.cpp
+++ b/src/control/scheduler_records.cpp
@@ -10,7 +10,7 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-durable_write scheduler::end_write(const job_t &j, double now) {
+durable_write scheduler::end_write(const job_t &j, time_point now) {
     durable_write w;
     w.kind = write_kind::job_end;
     w.job = j.spec.id;
@@ -19,12 +19,12 @@
     wire::ended_record e;
     e.state = j.cancelled ? job_state::cancelled : job_state::done;
     e.done = j.done_seen;
-    e.at = now + wall_offset_; // from then on those that wait for it are ready
+    e.at = wall_clock_.to_wall(now); // from then on those that wait for it are ready
     w.ops.push_back({ended_key(w.job), wire::encode_ended(e), 0});
     return w;
 }
 
-void scheduler::write_placements(std::vector<durable_write> &out, double now) {
+void scheduler::write_placements(std::vector<durable_write> &out, time_point now) {
     std::size_t most_bytes = std::min(most_record_bytes(), c::txn_bytes);
     // Four conditions for each change that a transaction may hold, less the fence's and the
     // record's.
@@ -96,8 +96,9 @@
             if (!w.attempts.empty()) {
                 w.ops.push_back({placed_key(name), wire::encode_placed(seg.tasks), 0});
                 if (kind == 0 && !full)
-                    next_placement_ = now + 1 / (c::placement_share * c::leader_write_share *
-                                                 c::state_share * settings_.state_write_rps);
+                    next_placement_ =
+                        now + seconds{1} / (c::placement_share * c::leader_write_share *
+                                            c::state_share * settings_.state_write_rps);
                 seg.busy = true;
                 out.push_back(std::move(w));
             }
@@ -132,7 +133,7 @@
         w.rental_request = name;
         if (!round.written) {
             wire::rental_record r;
-            r.at = list.front()->asked_at + wall_offset_;
+            r.at = wall_clock_.to_wall(list.front()->asked_at);
             for (auto *s : list)
                 r.requests.push_back(s->what);
             w.ops.push_back({rental_key(name), wire::encode_rental_record(r), 0});
@@ -141,7 +142,7 @@
             for (auto *s : list) {
                 std::erase_if(s->machines, [&](auto &n) {
                     auto m = machines_.find(n);
-                    return m == machines_.end() || m->second.listed_at >= 0;
+                    return m == machines_.end() || m->second.listed_at;
                 });
                 open = open || !s->answered || !s->machines.empty();
             }
@@ -155,8 +156,8 @@
 }
 
 // Records whose placements have all ended are dropped.
-void scheduler::sweep_segments(double now) {
-    if (now - last_sweep_ < c::sweep_gap_s)
+void scheduler::sweep_segments(time_point now) {
+    if (!elapsed(last_sweep_, c::sweep_gap, now))
         return;
     last_sweep_ = now;
     for (auto i = segments_.begin(); i != segments_.end();) {
@@ -204,7 +205,7 @@
 // Guards against a record that an earlier version filled under larger limits and that can't be
 // written any more: it stays as it is until its jobs have ended, and what is new of a part goes
 // into another record. A part in two records is done where either says so.
-void scheduler::note_done(job_t &j, std::uint32_t index, double now) {
+void scheduler::note_done(job_t &j, std::uint32_t index, time_point now) {
     auto part = static_cast<std::uint32_t>(index / c::part_done);
     auto &name = j.done_in[part];
     if (name.empty() || done_records_[name].too_large) {
@@ -222,10 +223,10 @@
 }
 
 // A job's last done tasks are in its ended record; until then all jobs share a few records.
-void scheduler::write_done(std::vector<durable_write> &out, double now, std::size_t &room) {
-    std::vector<std::pair<double, std::string>> due;
+void scheduler::write_done(std::vector<durable_write> &out, time_point now, std::size_t &room) {
+    std::vector<std::pair<time_point, std::string>> due;
     for (auto &[name, r] : done_records_)
-        if (r.dirty && !r.busy && now - r.since >= c::done_gap_s)
+        if (r.dirty && !r.busy && now - r.since >= c::done_gap)
             due.emplace_back(r.since, name);
     std::sort(due.begin(), due.end());
     for (auto &[since, name] : due) {
@@ -265,8 +266,8 @@
 
 // Guards against a new leader that tries every task of a job that fails everywhere once more, and
 // blames the machines for it.
-void scheduler::write_suspects(std::vector<durable_write> &out, double now) {
-    if (suspects_busy_ || now - suspects_at_ < c::suspects_gap_s)
+void scheduler::write_suspects(std::vector<durable_write> &out, time_point now) {
+    if (suspects_busy_ || !elapsed(suspects_at_, c::suspects_gap, now))
         return;
     auto most = most_record_bytes();
     std::vector<std::string> jobs;
@@ -288,13 +289,13 @@
     out.push_back(std::move(w));
 }
 
-void scheduler::on_done_written(const durable_write &w, bool ok, double now) {
+void scheduler::on_done_written(const durable_write &w, bool ok, time_point now) {
     auto r = done_records_.find(w.segment);
     if (r != done_records_.end()) {
         r->second.busy = false;
         if (!ok) {
             r->second.dirty = true;
-            r->second.since = now + c::state_retry_s - c::done_gap_s;
+            r->second.since = now + c::state_retry - c::done_gap;
         }
     }
     if (!ok)
@@ -313,7 +314,7 @@
     }
 }
 
-std::vector<durable_write> scheduler::take_writes(double now, std::size_t room) {
+std::vector<durable_write> scheduler::take_writes(time_point now, std::size_t room) {
     std::vector<durable_write> out;
     if (!ready_)
         return out;
@@ -345,7 +346,7 @@
     return out;
 }
 
-void scheduler::on_placements_written(const durable_write &w, bool ok, double now) {
+void scheduler::on_placements_written(const durable_write &w, bool ok, time_point now) {
     if (auto seg = segments_.find(w.segment); seg != segments_.end())
         seg->second.busy = false;
     for (auto &[ref, number] : w.attempts) {
@@ -353,7 +354,7 @@
         if (!j)
             continue;
         if (!ok)
-            j->write_after = now + c::state_retry_s; // by then the watch tells what changed
+            j->write_after = now + c::state_retry; // by then the watch tells what changed
         auto *a = attempt_of(ref, number);
         if (!a || a->phase != attempt_phase::committing)
             continue;
@@ -367,7 +368,7 @@
     }
 }
 
-void scheduler::on_written(const durable_write &w, bool ok, std::uint64_t, double now) {
+void scheduler::on_written(const durable_write &w, bool ok, std::uint64_t, time_point now) {
     dirty_ = true;
     if (w.kind == write_kind::rental_request) {
         auto i = rental_rounds_.find(w.rental_request);
@@ -412,7 +413,7 @@
         if (!ok) {
             // A cancel came first; the watch will tell.
             j->end_writing = false;
-            j->write_after = now + c::state_retry_s;
+            j->write_after = now + c::state_retry;
             break;
         }
         while (!j->live.empty())
--- a/src/control/submissions.cpp
+++ b/src/control/submissions.cpp
@@ -87,14 +87,14 @@
         co_return unsure("not yet able to decide");
     auto why = rejection(spec);
     wire::job_record record;
-    record.accepted_at = wall_s();
+    record.accepted_at = net::wall_now();
     if (why.empty() && !cache_.active(spec.id) && !cache_.ended(spec.id)) {
         auto checked = co_await check_predecessors(spec.predecessors);
         if (checked.how == dependency_check::verdict::unsure)
             co_return cut_off();
         why = checked.why;
         record.cancelled = checked.cancelled;
-        record.cancelled_at = checked.cancelled ? record.accepted_at : 0;
+        record.cancelled_at = checked.cancelled ? std::optional(record.accepted_at) : std::nullopt;
         spec.predecessors.clear();
         if (!checked.cancelled)
             spec.predecessors = std::move(checked.unfinished);
@@ -118,7 +118,7 @@
     u.priority = store::request_priority::accept;
     u.when = {{active_key(spec.id), 0}, {ended_key(spec.id), 0}};
     u.ops = {{active_key(spec.id), value, 0}};
-    auto how = co_await commit(std::move(u), c::user_request_s - 1.5);
+    auto how = co_await commit(std::move(u), c::user_request - c::cancel_round);
     if (how == store::unit_outcome::committed)
         co_return response{201, wire::encode_accepted(spec.id, state), 0, false};
     if (how == store::unit_outcome::too_large)
--- a/src/control/user_requests.cpp
+++ b/src/control/user_requests.cpp
@@ -8,18 +8,19 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
 using net::response;
+using net::steady_now;
 
 // Guards against a user who stays with a node that can't read: the load balancer moves no open
 // connection, so every question on it would fail while other nodes answer.
 response controller::cut_off() const {
     auto r = unsure("the state service does not answer");
-    r.close = state_.silence(now_s()) > c::state_timeout_s;
+    r.close = state_.silence(steady_now()) > c::state_timeout;
     return r;
 }
 
-awaitable<std::optional<store::unit_outcome>> controller::commit(store::unit u, double limit_s) {
+awaitable<std::optional<store::unit_outcome>> controller::commit(store::unit u,
+                                                                 seconds time_limit) {
     struct shared {
         explicit shared(net::asio::io_context &io) : signal(io) {}
         net::signal signal;
@@ -32,11 +33,11 @@
         s->how = how;
         s->signal.notify();
     };
-    double limit = now_s() + limit_s;
+    auto limit = steady_now() + time_limit;
     u.give_up_at = limit; // its user is told 503 then, and asks again
     user_commits_.submit(std::move(u));
-    while (!s->how && now_s() < limit)
-        co_await s->signal.wait_for(limit - now_s());
+    while (!s->how && steady_now() < limit)
+        co_await s->signal.wait_for(limit - steady_now());
     co_return s->how;
 }
 
@@ -50,7 +51,7 @@
         s.done = e->done;
         co_return result(s);
     }
-    if (!co_await cache_.catch_up(1.5))
+    if (!co_await cache_.catch_up(c::shared_read))
         co_return std::nullopt;
     if (!co_await cache_.resolve_predecessors(id))
         co_return std::nullopt;
@@ -69,7 +70,8 @@
             auto i = progress_.find(id);
             if (i != progress_.end())
                 p = i->second;
-            if (!progress_busy_ && now_s() - progress_at_ > c::progress_gap_s)
+            if (!progress_busy_ &&
+                (!progress_at_ || steady_now() - *progress_at_ > c::progress_gap))
                 net::spawn(io_, fetch_progress(), "progress");
         }
         if (p) {
@@ -118,8 +120,8 @@
         co_return error(404, "no such job");
     if (!cache_.loaded() || user_commits_.full())
         co_return unsure("starting");
-    double limit = now_s() + c::user_request_s;
-    while (now_s() < limit - 1.5) {
+    auto limit = steady_now() + c::user_request;
+    while (steady_now() < limit - c::cancel_round) {
         auto s = co_await current(id);
         if (!s)
             co_return cut_off();
@@ -130,7 +132,8 @@
         auto *j = cache_.active(id);
         if (!j)
             continue;
-        auto record = catalog::cancelled_record(j->record, wall_s(), settings_.value_bytes());
+        auto record =
+            catalog::cancelled_record(j->record, net::wall_now(), settings_.value_bytes());
         store::unit u;
         u.priority = store::request_priority::cancel;
         u.when = {{active_key(id), j->version}};
@@ -142,7 +145,7 @@
             member_.note_cancel(n);
             apply_cancel(n);
         };
-        auto how = co_await commit(std::move(u), std::max(0.2, limit - now_s()));
+        auto how = co_await commit(std::move(u), std::max(c::commit_least, limit - steady_now()));
         if (how == store::unit_outcome::committed) {
             co_return response{200, wire::encode_accepted(id, job_state::cancelled), 0, false};
         }
--- a/src/control/worker_exchange.cpp
+++ b/src/control/worker_exchange.cpp
@@ -7,12 +7,12 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
 using net::response;
+using net::steady_now;
 
-bool controller::may_renew(double now) const {
-    return membership::may_renew(now, member_.cancels_known_until(), settings_.lease_s,
-                                 settings_.cancel_s);
+bool controller::may_renew(time_point now) const {
+    return membership::may_renew(now, member_.cancels_known_until(), settings_.lease_duration,
+                                 settings_.cancel_deadline);
 }
 
 // Acted on without the key-value store; what the records will say of the same changes nothing more.
@@ -21,7 +21,7 @@
         return;
     lead_->cancels[n.job] = n;
     if (lead_->core) {
-        lead_->core->on_cancel(n, now_s());
+        lead_->core->on_cancel(n, steady_now());
         lead_->wake.notify();
     }
 }
@@ -36,8 +36,9 @@
         co_return elsewhere();
     auto l = lead_;
     // A new leader that is still reading the records has an answer within moments.
-    for (double limit = now_s() + 1.5; !l->core && now_s() < limit && may_act(l);)
-        co_await net::sleep_s(0.05);
+    for (auto limit = steady_now() + c::failover_wait;
+         !l->core && steady_now() < limit && may_act(l);)
+        co_await net::sleep_for(c::failover_poll);
     if (!l->core || !may_act(l))
         co_return elsewhere();
     heartbeat report;
@@ -48,7 +49,7 @@
         co_return error(400, e.what());
     }
     ++l->heartbeats_received;
-    double now = now_s();
+    auto now = steady_now();
     auto age = l->core->on_heartbeat(report, now);
     l->wake.notify();
     if (age == scheduler::heartbeat_age::dead)
@@ -66,9 +67,9 @@
         text = wire::encode_heartbeat_answer(member_.token(), commands);
     }
     // Checked right before the answer: without entitlement it must not renew a lease.
-    if (!may_act(l) || (!blind && !may_renew(now_s())))
+    if (!may_act(l) || (!blind && !may_renew(steady_now())))
         co_return elsewhere();
-    l->core->answered(report.machine, age, now_s());
+    l->core->answered(report.machine, age, steady_now());
     co_return response{200, text, 0, false};
 }
 
@@ -86,7 +87,7 @@
         co_return;
     auto incarnation = m->incarnation;
     auto address = m->address;
-    auto commands = l->core->direct_commands_for(machine, now_s(), may_renew(now_s()));
+    auto commands = l->core->direct_commands_for(machine, steady_now(), may_renew(steady_now()));
     if (commands.empty())
         co_return;
     bool starts = false;
@@ -109,11 +110,12 @@
     // Guards against a start that is sent after its job was cancelled, or by a leader that stood
     // still while it connected.
     net::permission permitted = [this, l, starts, &commands] {
-        return may_act(l) && (!starts || (may_renew(now_s()) && l->core->starts_wanted(commands)));
+        return may_act(l) &&
+               (!starts || (may_renew(steady_now()) && l->core->starts_wanted(commands)));
     };
     auto a = co_await client->call("POST", wire::path_commands,
                                    wire::encode_direct_commands(token, incarnation, commands),
-                                   c::worker_timeout_s, false, std::move(permitted));
+                                   c::worker_timeout, false, std::move(permitted));
     // Guards against commands to a large fleet that use up the sockets its heartbeats need.
     if (l->workers.size() > sockets_.commands && client.use_count() == 2)
         l->workers.erase(address);
@@ -128,7 +130,7 @@
                 l->core->command_resolved(machine);
             starts = false;
             if (report.machine == machine)
-                l->core->on_heartbeat(report, now_s(), true);
+                l->core->on_heartbeat(report, steady_now(), true);
         } catch (const wire::malformed_message &e) {
             spdlog::warn("{}: {}", machine, e.what());
         }
--- a/src/fairness/chain_order.cpp
+++ b/src/fairness/chain_order.cpp
@@ -23,8 +23,8 @@
     priority = std::min(priority, dependent.priority);
     if (!dependent.due)
         return;
-    due_times earlier{dependent.due->first - dependent.duration_s,
-                      dependent.due->last - dependent.duration_s};
+    due_times earlier{dependent.due->first - dependent.duration,
+                      dependent.due->last - dependent.duration};
     if (!due)
         due = earlier;
     due->first = std::min(due->first, earlier.first);
--- a/src/fairness/chain_order.hpp
+++ b/src/fairness/chain_order.hpp
@@ -2,6 +2,7 @@
 // along the chain, the time by which it should be complete. Pure.
 #pragma once
 #include "catalog/dependency_graph.hpp"
+#include "common/time.hpp"
 #include <functional>
 #include <map>
 #include <optional>
@@ -9,16 +10,17 @@
 
 namespace spindlecroft::fairness {
 
-// The earliest and the latest of the times by which a job should be complete (s, steady clock).
+// The earliest and the latest of the times by which a job should be complete.
 struct due_times {
-    double first = 0, last = 0;
+    time_point first{};
+    time_point last{};
 };
 
 // What is known of a job by itself.
 struct chain_member {
     priority_class priority = priority_class::normal;
     std::optional<due_times> due;
-    double duration_s = 0; // estimated, from its readiness to its end
+    seconds duration{}; // estimated, from its readiness to its end
 };
 
 struct inherited {
--- a/src/fairness/team_order.cpp
+++ b/src/fairness/team_order.cpp
@@ -11,17 +11,17 @@
     for (std::size_t i = 0; i < jobs.size(); ++i) {
         auto &j = jobs[i];
         order[i] = i;
-        late[i] = static_cast<char>(j.due_in_s.empty() || j.due_in_s.back() < j.longest_s);
-        if (!j.begun && j.waited_s > constants::starved_s)
+        late[i] = static_cast<char>(j.due_in.empty() || j.due_in.back() < j.longest);
+        if (!j.begun && j.waited > constants::starved_after)
             starved.push_back(i);
-        if (late[i] && j.waited_s > constants::aged_s &&
-            (aged == jobs.size() || j.waited_s > jobs[aged].waited_s))
+        if (late[i] && j.waited > constants::aged_after &&
+            (aged == jobs.size() || j.waited > jobs[aged].waited))
             aged = i;
     }
     std::stable_sort(starved.begin(), starved.end(),
-                     [&](auto a, auto b) { return jobs[a].waited_s > jobs[b].waited_s; });
+                     [&](auto a, auto b) { return jobs[a].waited > jobs[b].waited; });
     std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) {
-        return late[a] != late[b] ? late[a] < late[b] : jobs[a].work_s < jobs[b].work_s;
+        return late[a] != late[b] ? late[a] < late[b] : jobs[a].work < jobs[b].work;
     });
     std::vector<turn> out;
     out.reserve(starved.size() + 1 + order.size());
--- a/src/fairness/team_order.hpp
+++ b/src/fairness/team_order.hpp
@@ -1,5 +1,6 @@
 // In which order a team's jobs of one priority are served while not all can run at once.
 #pragma once
+#include "common/time.hpp"
 #include <cstddef>
 #include <cstdint>
 #include <vector>
@@ -7,12 +8,12 @@
 namespace spindlecroft::fairness {
 
 struct waiting_job {
-    std::vector<double> due_in_s; // until the times by which it should be complete, the first first
-    double work_s = 0;            // run time of its tasks that are not done
-    double longest_s = 0;         // at least this long even with any number of machines
-    double waited_s = 0;          // since it was accepted
-    bool begun = false;           // some task of it has started
-    double held = 0;              // slots that it has now
+    std::vector<seconds> due_in; // until the times by which it should be complete, the first first
+    seconds work{};              // run time of its tasks that are not done
+    seconds longest{};           // at least this long even with any number of machines
+    seconds waited{};            // since it was accepted
+    bool begun = false;          // some task of it has started
+    double held = 0;             // slots that it has now
 };
 
 // A job's turn: so many of its tasks, before the next turn.
--- a/src/membership/cancel_exchange.cpp
+++ b/src/membership/cancel_exchange.cpp
@@ -58,7 +58,7 @@
 }
 
 std::vector<cancel_notice> cancel_reader::take(const cancel_question &q, const cancel_answer &a,
-                                               double sent_at) {
+                                               time_point sent_at) {
     bool same = a.incarnation == q.incarnation;
     if (q.incarnation != incarnation_ || q.after != after_)
         throw wire::malformed_message("cancels: an answer to an earlier question");
@@ -75,9 +75,10 @@
     // gave up entries, or has more to tell, can't speak for what was told to users before.
     if (a.loaded && missing_ <= q.revision && a.upto == a.newest) {
         known_until_ = std::max(known_until_, sent_at);
-        durable_known_at_ =
-            std::max(durable_known_at_,
-                     sent_at - a.read_age_s * (1 + 2 * c::clock_drift) - c::authority_margin_s);
+        if (a.read_age)
+            durable_known_at_ =
+                std::max(durable_known_at_,
+                         sent_at - *a.read_age * (1 + 2 * c::clock_drift) - c::authority_margin);
     }
     return a.entries;
 }
@@ -85,21 +86,22 @@
 // Guards against ran_cancelled where the leader cannot read the key-value store: it would keep
 // renewing the leases of tasks whose cancel another controller has accepted. In an outage nobody
 // can accept a cancel, the others say so, and running work goes on.
-double cancels_known_until(double now, double fresh_at,
-                           const std::vector<const cancel_reader *> &readers) {
+time_point cancels_known_until(time_point now, time_point fresh_at,
+                               const std::vector<const cancel_reader *> &readers) {
     // What any controller has read and told us counts like a read of our own.
-    double durable = fresh_at;
+    auto durable = fresh_at;
     for (auto *r : readers)
         durable = std::max(durable, r->durable_known_at());
-    double until = now;
+    auto until = now;
     for (auto *r : readers)
         until = std::min(until, std::max(r->known_until(), durable));
     return std::max(until, durable);
 }
 
-bool may_renew(double now, double known_until, double lease_s, double cancel_s) {
-    double blind = cancel_s - lease_s * (1 + c::clock_drift) - c::blind_margin_s;
-    return now - known_until < std::max(blind, c::blind_least_s);
+bool may_renew(time_point now, time_point known_until, seconds lease_duration,
+               seconds cancel_deadline) {
+    auto blind = cancel_deadline - lease_duration * (1 + c::clock_drift) - c::blind_margin;
+    return now - known_until < std::max(blind, c::blind_least);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/cancel_exchange.hpp
+++ b/src/membership/cancel_exchange.hpp
@@ -7,9 +7,11 @@
 // nothing out makes all known that this controller can have told a user before the question was
 // sent.
 #pragma once
+#include "common/time.hpp"
 #include "wire/types.hpp"
 #include <cstdint>
 #include <deque>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -31,7 +33,8 @@
     std::uint64_t newest = 0;   // number of the newest entry
     bool loaded = false;        // since its start this controller has read all jobs' records
     std::uint64_t given_up = 0; // entries after `after` up to this revision are no longer kept
-    double read_age_s = 1e9;    // s; all that was durable so long ago is in the log
+    // All that was durable so long ago is in the log; nothing: that is not known.
+    std::optional<seconds> read_age;
     std::vector<cancel_notice> entries;
 };
 
@@ -66,30 +69,32 @@
     cancel_question question(std::uint64_t revision) const {
         return {incarnation_, after_, revision};
     }
-    // Entries to act on. Throws wire::bad_message if the answer contradicts the question or itself:
-    // it then counts as not heard, and what was known stays.
+    // Entries to act on. Throws wire::malformed_message if the answer contradicts the question or
+    // itself: it then counts as not heard, and what was known stays.
     std::vector<cancel_notice> take(const cancel_question &q, const cancel_answer &a,
-                                    double sent_at);
+                                    time_point sent_at);
     // No cancel that this controller told a user of before then is unknown.
-    double known_until() const { return known_until_; }
+    time_point known_until() const { return known_until_; }
     // Nor one that was durable before then, whoever told of it.
-    double durable_known_at() const { return durable_known_at_; }
+    time_point durable_known_at() const { return durable_known_at_; }
 
   private:
     std::string incarnation_;
     std::uint64_t after_ = 0;
     std::uint64_t missing_ = 0; // revision; only a read up to here makes up for what was given up
-    double known_until_ = -1e9, durable_known_at_ = -1e9;
+    time_point known_until_ = time_point::min();
+    time_point durable_known_at_ = time_point::min();
 };
 
 // The time up to which no controller can have told a user of a cancel that is not known here, when
 // all that was durable at fresh_at is known. readers: of all other controllers.
-double cancels_known_until(double now, double fresh_at,
-                           const std::vector<const cancel_reader *> &readers);
+time_point cancels_known_until(time_point now, time_point fresh_at,
+                               const std::vector<const cancel_reader *> &readers);
 
 // Whether a worker's lease may be renewed although cancels may have been accepted since
-// known_until: its tasks must be gone cancel_s after such a cancel, even if no word reaches the
-// worker any more.
-bool may_renew(double now, double known_until, double lease_s, double cancel_s);
+// known_until: its tasks must be gone cancel_deadline after such a cancel, even if no word reaches
+// the worker any more.
+bool may_renew(time_point now, time_point known_until, seconds lease_duration,
+               seconds cancel_deadline);
 
 } // namespace spindlecroft::membership
--- a/src/membership/lease_votes.cpp
+++ b/src/membership/lease_votes.cpp
@@ -7,22 +7,22 @@
 
 namespace c = constants;
 
-vote_ledger::vote_ledger(double started_at, double blackout_s)
-    : blackout_until_(started_at + blackout_s) {}
+vote_ledger::vote_ledger(time_point started_at, seconds blackout)
+    : blackout_until_(started_at + blackout) {}
 
-bool vote_ledger::grant(const std::string &to, double length_s, double now) {
+bool vote_ledger::grant(const std::string &to, seconds length, time_point now) {
     if (in_blackout(now))
         return false;
     if (now < until_ && holder_ != to)
         return false;
     holder_ = to;
-    until_ = std::max(now < until_ ? until_ : now, now + length_s);
+    until_ = std::max(now < until_ ? *until_ : now, now + length);
     return true;
 }
 
 void vote_ledger::release(const std::string &to) {
     if (holder_ == to)
-        until_ = -1;
+        until_.reset();
 }
 
 authority::authority(std::string self, std::size_t controllers)
@@ -30,25 +30,25 @@
 
 // Both clocks may drift, and timers fire late; what others promised is counted shorter than they
 // keep it.
-static double safe_end(double sent_at, double length_s) {
-    return sent_at + length_s * (1 - 2 * c::clock_drift) - c::authority_margin_s;
+static time_point safe_end(time_point sent_at, seconds length) {
+    return sent_at + length * (1 - 2 * c::clock_drift) - c::authority_margin;
 }
 
-void authority::vote_granted(const std::string &by, double sent_at, double length_s) {
+void authority::vote_granted(const std::string &by, time_point sent_at, seconds length) {
     auto &until = votes_[by];
-    until = std::max(until, safe_end(sent_at, length_s));
+    until = std::max(until, safe_end(sent_at, length));
 }
 
-void authority::lease_renewed(double sent_at, double length_s) {
-    lease_until_ = std::max(lease_until_, safe_end(sent_at, length_s));
+void authority::lease_renewed(time_point sent_at, seconds length) {
+    lease_until_ = std::max(lease_until_, std::optional(safe_end(sent_at, length)));
 }
 
 void authority::clear() {
     votes_.clear();
-    lease_until_ = -1;
+    lease_until_.reset();
 }
 
-bool authority::majority(double now) const {
+bool authority::majority(time_point now) const {
     std::size_t live = 0;
     for (auto &[by, until] : votes_)
         if (now < until)
@@ -56,18 +56,20 @@
     return live * 2 > controllers_;
 }
 
-double authority::valid_until(double now) const {
-    std::vector<double> ends;
+time_point authority::valid_until(time_point now) const {
+    std::vector<time_point> ends;
     for (auto &[by, until] : votes_)
         ends.push_back(until);
     std::sort(ends.rbegin(), ends.rend());
     std::size_t need = controllers_ / 2 + 1;
-    double by_majority = ends.size() >= need ? ends[need - 1] : -1;
-    return std::max({lease_until_, by_majority, now - 1});
+    auto until = now - seconds{1};
+    if (ends.size() >= need)
+        until = std::max(until, ends[need - 1]);
+    return std::max(until, lease_until_.value_or(until));
 }
 
-bool better_served_elsewhere(double state_silence_s, bool state_served_elsewhere, bool alone) {
-    return state_silence_s > c::isolated_s && (state_served_elsewhere || alone);
+bool better_served_elsewhere(seconds store_silence, bool state_served_elsewhere, bool alone) {
+    return store_silence > c::isolated_after && (state_served_elsewhere || alone);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -8,7 +8,7 @@
 
 namespace c = constants;
 using net::awaitable;
-using net::now_s;
+using net::steady_now;
 
 static constexpr const char *leader_key = "leader";
 
@@ -16,9 +16,9 @@
                store::key_value_client &state)
     : io_(io), settings_(s), state_(state), random_(std::random_device()()),
       incarnation_(fmt::format("{}#{:08x}", s.node, random_())),
-      votes_given_(now_s(), s.members.empty() ? 0
-                                              : c::vote_length_s * (1 + 2 * c::clock_drift) +
-                                                    c::authority_margin_s),
+      votes_given_(steady_now(), s.members.empty() ? seconds{0}
+                                                   : c::vote_length * (1 + 2 * c::clock_drift) +
+                                                         c::authority_margin),
       authority_(s.node, s.members.size() + 1),
       cancels_(incarnation_, c::cancels_kept, c::cancels_per_answer), wake_(io) {
     for (auto &m : s.members) {
@@ -37,13 +37,13 @@
 }
 
 bool member::leading() const {
-    return leader_ && authority_.valid(now_s());
+    return leader_ && authority_.valid(steady_now());
 }
 
 std::string member::leader_hint() const {
     if (leading())
         return settings_.node;
-    if (now_s() - hint_at_ < c::vote_length_s)
+    if (!elapsed(hint_at_, c::vote_length, steady_now()))
         return hint_;
     return key_holder_ == settings_.node ? std::string() : key_holder_;
 }
@@ -61,23 +61,23 @@
     wake_.notify();
 }
 
-double member::cancels_known_until() const {
+time_point member::cancels_known_until() const {
     std::vector<const cancel_reader *> readers;
     for (auto &p : peers_)
         readers.push_back(&p->cancels);
-    return membership::cancels_known_until(now_s(), records().fresh_at, readers);
+    return membership::cancels_known_until(steady_now(), records().fresh_at, readers);
 }
 
 bool member::state_served_elsewhere() const {
     for (auto &p : peers_)
-        if (p->state_ok && now_s() - p->heard_at < 3)
+        if (p->state_ok && !elapsed(p->heard_at, seconds{3}, steady_now()))
             return true;
     return false;
 }
 
-bool member::alone_for(double s) const {
+bool member::alone_for(seconds length) const {
     for (auto &p : peers_)
-        if (net::now_s() - p->heard_at < s)
+        if (!elapsed(p->heard_at, length, steady_now()))
             return false;
     return !peers_.empty();
 }
@@ -86,14 +86,15 @@
 
 std::string member::on_message(const std::string &body) {
     auto m = wire::parse_peer(body);
-    double now = now_s();
+    auto now = steady_now();
     auto from = m.text("from"), as = m.text("as");
     auto kind = m.text("kind");
     wire::peer_message out;
     if (kind == "release") {
         votes_given_.release(as);
     } else if (kind == "promise") {
-        bool granted = votes_given_.grant(as, static_cast<double>(m.number("ms")) / 1000.0, now);
+        bool granted =
+            votes_given_.grant(as, seconds{static_cast<double>(m.number("ms")) / 1000.0}, now);
         out.numbers["granted"] = granted;
         if (granted && m.text("role") == "leader") {
             hint_ = from;
@@ -104,11 +105,12 @@
     }
     // A leader without the key-value store, or its workers, asks whether another could be chosen:
     // this controller must know by the next question whether the key-value store answers it.
-    if (m.number("wants_word") && now - records().fresh_at > c::leader_renew_s)
+    if (m.number("wants_word") && now - records().fresh_at > c::leader_renew)
         want_read();
     out.numbers["state_ok"] = state_.serving(now);
+    auto heartbeat_age = last_heartbeat_ ? now - *last_heartbeat_ : seconds::max();
     out.numbers["reports_age_ms"] =
-        static_cast<std::uint64_t>(std::min(1e6, (now - last_heartbeat_) * 1000));
+        static_cast<std::uint64_t>(std::min(1e6, heartbeat_age.count() * 1000));
     if (m.texts.count("cancels_run"))
         answer_cancels(m, out, now);
     out.texts["holder"] = votes_given_.holder(now);
@@ -121,7 +123,7 @@
     return wire::encode_peer(out);
 }
 
-awaitable<void> member::ask(peer_state &p, double length_s, bool candidate) {
+awaitable<void> member::ask(peer_state &p, seconds length, bool candidate) {
     if (p.busy)
         co_return;
     p.busy = true;
@@ -131,36 +133,37 @@
                {"from", settings_.node},
                {"as", candidacy_},
                {"role", candidate ? "candidate" : "leader"}};
-    m.numbers["state_ok"] = state_.serving(now_s());
-    m.numbers["ms"] = static_cast<std::uint64_t>(length_s * 1000);
+    m.numbers["state_ok"] = state_.serving(steady_now());
+    m.numbers["ms"] = static_cast<std::uint64_t>(length.count() * 1000);
     auto question = p.cancels.question(records().revision);
     if (!candidate) {
-        double now = now_s();
-        m.numbers["wants_word"] =
-            !state_.serving(now) || now - last_heartbeat_ > c::step_down_unheard_s / 2;
+        auto now = steady_now();
+        m.numbers["wants_word"] = !state_.serving(now) || !last_heartbeat_ ||
+                                  now - *last_heartbeat_ > c::step_down_unheard / 2;
         m.texts["cancels_run"] = question.incarnation;
         m.numbers["cancels_after"] = question.after;
         m.numbers["cancels_revision"] = question.revision;
     }
-    double sent = now_s();
+    auto sent = steady_now();
     // Guards against a leader that stood still and then binds the others' votes to itself.
     net::permission permitted = [this, candidacy, candidate] {
-        return candidacy == candidacy_ && (candidate || authority_.valid(now_s()));
+        return candidacy == candidacy_ && (candidate || authority_.valid(steady_now()));
     };
-    auto r = co_await p.client->call("POST", "/member", wire::encode_peer(m), c::peer_timeout_s,
-                                     true, std::move(permitted));
+    auto r = co_await p.client->call("POST", "/member", wire::encode_peer(m), c::peer_timeout, true,
+                                     std::move(permitted));
     p.busy = false;
     if (!r.ok())
         co_return;
     try {
         auto a = wire::parse_peer(r.body);
-        p.heard_at = now_s();
+        p.heard_at = steady_now();
         p.state_ok = a.number("state_ok") != 0;
-        p.heartbeat_age_s = static_cast<double>(a.number("reports_age_ms", 1000000)) / 1000.0;
+        p.heartbeat_age =
+            seconds{static_cast<double>(a.number("reports_age_ms", 1000000)) / 1000.0};
         // A vote to an earlier candidacy doesn't count, and none revives a leader that lapsed.
         if (a.number("granted") && candidacy == candidacy_ &&
-            (candidate || authority_.valid(now_s())))
-            authority_.vote_granted(p.name, sent, length_s);
+            (candidate || authority_.valid(steady_now())))
+            authority_.vote_granted(p.name, sent, length);
         wake_.notify();
         if (!candidate)
             take_cancels(p, question, a, sent);
@@ -173,7 +176,7 @@
 }
 
 void member::answer_cancels(const wire::peer_message &question, wire::peer_message &out,
-                            double now) {
+                            time_point now) {
     auto view = records();
     cancel_question q{question.text("cancels_run"), question.number("cancels_after"),
                       question.number("cancels_revision")};
@@ -186,12 +189,12 @@
     out.numbers["cancels_given_up"] = a.given_up;
     out.numbers["loaded"] = view.loaded;
     out.numbers["read_age_ms"] =
-        static_cast<std::uint64_t>(std::min(1e9, (now - view.fresh_at) * 1000) + 1);
+        static_cast<std::uint64_t>(std::min(1e9, (now - view.fresh_at).count() * 1000) + 1);
     out.cancels = std::move(a.entries);
 }
 
 void member::take_cancels(peer_state &p, const cancel_question &q, const wire::peer_message &m,
-                          double sent) {
+                          time_point sent) {
     cancel_answer a;
     a.incarnation = m.text("cancels_run");
     a.after = m.number("cancels_after");
@@ -199,7 +202,7 @@
     a.newest = m.number("cancels_newest");
     a.given_up = m.number("cancels_given_up", ~0ull);
     a.loaded = m.number("loaded") != 0;
-    a.read_age_s = static_cast<double>(m.number("read_age_ms", 1000000000)) / 1000.0;
+    a.read_age = seconds{static_cast<double>(m.number("read_age_ms", 1000000000)) / 1000.0};
     a.entries = m.cancels;
     auto news = p.cancels.take(q, a, sent);
     // They stay known here too: this controller may be asked by the next leader.
@@ -219,7 +222,7 @@
         net::spawn(
             io_,
             [](net::client &client, std::string body) -> awaitable<void> {
-                co_await client.call("POST", "/member", std::move(body), c::peer_timeout_s, true);
+                co_await client.call("POST", "/member", std::move(body), c::peer_timeout, true);
             }(*p->client, body),
             "release");
     co_return;
@@ -242,26 +245,27 @@
 awaitable<void> member::follow() {
     std::optional<std::uint64_t> since;
     while (!stopping_) {
-        double now = now_s();
+        auto now = steady_now();
         if (!since) {
             auto i = co_await state_.get(leader_key, store::request_priority::leadership);
             if (!i) {
-                co_await wake_.wait_for(c::state_retry_s);
+                co_await wake_.wait_for(c::state_retry);
                 continue;
             }
             if (!i->found) {
                 key_holder_.clear();
-                now = now_s();
+                now = steady_now();
                 if (now < no_campaign_until_ || votes_given_.in_blackout(now)) {
-                    co_await wake_.wait_for(0.2);
+                    co_await wake_.wait_for(seconds{0.2});
                     continue;
                 }
                 // Spread those who saw the same end; whoever promised to another waits longer.
-                boost::random::uniform_real_distribution<double> jitter(0, c::candidacy_jitter_s);
+                boost::random::uniform_real_distribution<double> jitter(
+                    0, c::candidacy_jitter.count());
                 auto holder = votes_given_.holder(now);
-                co_await net::sleep_s(holder.empty() || holder == candidacy_
-                                          ? jitter(random_)
-                                          : 0.2 + jitter(random_));
+                co_await net::sleep_for(holder.empty() || holder == candidacy_
+                                            ? seconds{jitter(random_)}
+                                            : seconds{0.2 + jitter(random_)});
                 co_return;
             }
             try {
@@ -279,31 +283,31 @@
         else
             since = std::max(*since, w->revision);
         if (!w)
-            co_await wake_.wait_for(c::state_retry_s);
+            co_await wake_.wait_for(c::state_retry);
     }
 }
 
 awaitable<void> member::campaign() {
     authority_.clear();
     candidacy_ = fmt::format("{}#{}", incarnation_, ++campaigns_);
-    double now = now_s();
-    if (!votes_given_.grant(candidacy_, c::candidacy_s, now))
+    auto now = steady_now();
+    if (!votes_given_.grant(candidacy_, c::candidacy, now))
         co_return;
-    authority_.vote_granted(settings_.node, now, c::candidacy_s);
+    authority_.vote_granted(settings_.node, now, c::candidacy);
     for (auto &p : peers_)
-        net::spawn(io_, ask(*p, c::candidacy_s, true), "ask " + p->name);
-    double limit = now + c::peer_timeout_s;
-    while (!authority_.majority(now_s()) && now_s() < limit)
-        co_await wake_.wait_for(std::max(0.01, limit - now_s()));
-    if (!authority_.majority(now_s())) {
+        net::spawn(io_, ask(*p, c::candidacy, true), "ask " + p->name);
+    auto limit = now + c::peer_timeout;
+    while (!authority_.majority(steady_now()) && steady_now() < limit)
+        co_await wake_.wait_for(std::max(seconds{0.01}, limit - steady_now()));
+    if (!authority_.majority(steady_now())) {
         authority_.clear();
         co_await release_all();
         boost::random::uniform_real_distribution<double> pause(0.1, 0.4);
-        co_await net::sleep_s(pause(random_));
+        co_await net::sleep_for(seconds{pause(random_)});
         co_return;
     }
-    double lease_sent = now_s();
-    auto lease = co_await state_.new_lease(c::leader_lease_s);
+    auto lease_sent = steady_now();
+    auto lease = co_await state_.new_lease(c::leader_lease);
     if (!lease) {
         authority_.clear();
         co_await release_all();
@@ -313,7 +317,7 @@
     auto value = wire::encode_leader({settings_.node, incarnation_, 0});
     std::vector<txn_condition> when{{leader_key, 0}};
     std::vector<txn_op> ops{{leader_key, value, *lease}};
-    net::permission permitted = [this] { return authority_.majority(now_s()); };
+    net::permission permitted = [this] { return authority_.majority(steady_now()); };
     auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
                                     std::move(permitted));
     std::uint64_t version = 0;
@@ -325,7 +329,7 @@
         if (i && i->found && i->kv.lease == *lease)
             version = i->kv.version;
     }
-    now = now_s();
+    now = steady_now();
     // The votes must still hold now that the key is ours: else the former leader may have got
     // them back in between.
     if (!version || !authority_.majority(now)) {
@@ -336,9 +340,9 @@
     }
     lease_ = *lease;
     token_ = version;
-    authority_.lease_renewed(lease_sent, c::leader_lease_s);
-    votes_given_.grant(candidacy_, c::vote_length_s, now);
-    authority_.vote_granted(settings_.node, now, c::vote_length_s);
+    authority_.lease_renewed(lease_sent, c::leader_lease);
+    votes_given_.grant(candidacy_, c::vote_length, now);
+    authority_.vote_granted(settings_.node, now, c::vote_length);
     leader_ = true;
     stepped_down_ = false;
     raise_wanted_ = check_wanted_ = false;
@@ -353,14 +357,14 @@
     if (renewing_)
         co_return;
     renewing_ = true;
-    double sent = now_s();
+    auto sent = steady_now();
     auto lease = lease_;
     auto r = co_await state_.renew(lease);
     renewing_ = false;
     if (!leader_ || lease != lease_)
         co_return;
     if (r == store::key_value_client::renewal::ok)
-        authority_.lease_renewed(sent, c::leader_lease_s);
+        authority_.lease_renewed(sent, c::leader_lease);
     else if (r == store::key_value_client::renewal::ended) {
         // The key is gone and with it every write: others may stand as soon as votes end.
         authority_.lease_ended();
@@ -418,40 +422,41 @@
 }
 
 // A leader cut from the key-value store or the workers steps down to a controller that is not.
-bool member::better_elsewhere(double now) {
+bool member::better_elsewhere(time_point now) {
     // Guards against an outage without a leader: only a controller that the key-value store answers
     // can be chosen, and its word must be fresh, for the service may by now be gone for all.
-    double blind = state_.silence(now), deaf = now - last_heartbeat_;
+    auto blind = state_.silence(now);
+    bool deaf = last_heartbeat_ && now - *last_heartbeat_ > c::step_down_unheard;
     for (auto &p : peers_) {
-        if (p->heard_at < 0 || now - p->heard_at > c::fresh_word_s || !p->state_ok)
+        if (!p->heard_at || now - *p->heard_at > c::fresh_word || !p->state_ok)
             continue;
-        if (blind > c::step_down_store_silence_s)
+        if (blind > c::step_down_store_silence)
             return true;
-        if (last_heartbeat_ > 0 && deaf > c::step_down_unheard_s && p->heartbeat_age_s < 3.0)
+        if (deaf && p->heartbeat_age && *p->heartbeat_age < seconds{3})
             return true;
     }
     return false;
 }
 
 awaitable<void> member::lead() {
-    double next_round = 0, started = now_s();
-    last_heartbeat_ = started;
+    time_point next_round{};
+    last_heartbeat_ = steady_now();
     while (!stopping_ && !stepped_down_) {
-        double now = now_s();
+        auto now = steady_now();
         if (!authority_.valid(now)) {
             spdlog::warn("leadership lapsed");
             break;
         }
         if (now >= next_round) {
-            next_round = now + c::leader_renew_s;
+            next_round = now + c::leader_renew;
             net::spawn(io_, renew_lease(), "renew");
-            if (votes_given_.grant(candidacy_, c::vote_length_s, now))
-                authority_.vote_granted(settings_.node, now, c::vote_length_s);
+            if (votes_given_.grant(candidacy_, c::vote_length, now))
+                authority_.vote_granted(settings_.node, now, c::vote_length);
             for (auto &p : peers_)
-                net::spawn(io_, ask(*p, c::vote_length_s, false), "ask " + p->name);
+                net::spawn(io_, ask(*p, c::vote_length, false), "ask " + p->name);
         }
         if (better_elsewhere(now)) {
-            no_campaign_until_ = now + c::step_down_pause_s;
+            no_campaign_until_ = now + c::step_down_pause;
             step_down("another controller is better placed");
             break;
         }
@@ -463,7 +468,8 @@
             raise_wanted_ = false;
             net::spawn(io_, raise(), "raise");
         }
-        co_await wake_.wait_for(std::max(0.01, std::min(next_round - now_s(), 0.1)));
+        co_await wake_.wait_for(
+            std::max(seconds{0.01}, std::min(next_round - steady_now(), seconds{0.1})));
     }
     leader_ = false;
     authority_.clear();
@@ -472,7 +478,7 @@
         on_deposed();
     net::spawn(io_, state_.end_lease(lease_), "end lease");
     co_await release_all();
-    co_await net::sleep_s(0.1);
+    co_await net::sleep_for(seconds{0.1});
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,6 @@
 // This controller's part in choosing a leader: votes, the leader key, and standing for it.
 #pragma once
+#include "common/time.hpp"
 #include "membership/cancel_exchange.hpp"
 #include "membership/lease_votes.hpp"
 #include "net/http.hpp"
@@ -37,18 +38,18 @@
     // Another controller said of late that the key-value store answers it.
     bool state_served_elsewhere() const;
     // No other controller was heard from for so long, though there are others.
-    bool alone_for(double s) const;
+    bool alone_for(seconds length) const;
     // A cancel is durable; noted before any user is told.
     void note_cancel(const cancel_notice &n) { cancels_.note(n); }
     // The time up to which no controller can have told a user of a cancel that is not known here.
-    double cancels_known_until() const;
-    void note_heartbeat() { last_heartbeat_ = net::now_s(); }
+    time_point cancels_known_until() const;
+    void note_heartbeat() { last_heartbeat_ = net::steady_now(); }
 
     // What this controller has read of the jobs' records.
     struct records_view {
         bool loaded = false;
         std::uint64_t revision = 0;
-        double fresh_at = -1e9; // s; all that was durable then is known
+        time_point fresh_at = time_point::min(); // all that was durable then is known
     };
     std::function<records_view()> records;
     std::function<void()> want_read;
@@ -65,8 +66,8 @@
         std::string name;
         std::unique_ptr<net::client> client;
         bool state_ok = false;
-        double heartbeat_age_s = 1e9;
-        double heard_at = -1;
+        std::optional<seconds> heartbeat_age; // since a worker last reported there
+        std::optional<time_point> heard_at;
         cancel_reader cancels;
         bool busy = false;
         std::string complaint; // the last one that was logged
@@ -74,16 +75,17 @@
     net::awaitable<void> follow();
     net::awaitable<void> campaign();
     net::awaitable<void> lead();
-    net::awaitable<void> ask(peer_state &p, double length_s, bool candidate);
+    net::awaitable<void> ask(peer_state &p, seconds length, bool candidate);
     net::awaitable<void> release_all();
     net::awaitable<void> renew_lease();
     net::awaitable<void> raise();
     net::awaitable<void> check_key();
     void take_token(std::uint64_t version);
-    bool better_elsewhere(double now);
-    void answer_cancels(const wire::peer_message &question, wire::peer_message &out, double now);
+    bool better_elsewhere(time_point now);
+    void answer_cancels(const wire::peer_message &question, wire::peer_message &out,
+                        time_point now);
     void take_cancels(peer_state &p, const cancel_question &q, const wire::peer_message &answer,
-                      double sent);
+                      time_point sent);
 
     net::asio::io_context &io_;
     const settings::settings &settings_;
@@ -101,9 +103,9 @@
     std::uint64_t token_ = 0, lease_ = 0, raises_ = 0;
     std::string key_holder_; // node named by the leader key, as last read
     std::string hint_;       // node that asks for votes as leader
-    double hint_at_ = -1e9;
-    double no_campaign_until_ = 0;
-    double last_heartbeat_ = -1e9;
+    std::optional<time_point> hint_at_;
+    time_point no_campaign_until_{};
+    std::optional<time_point> last_heartbeat_;
     cancel_log cancels_;
     net::signal wake_;
 };
--- a/src/net/async.hpp
+++ b/src/net/async.hpp
@@ -1,5 +1,6 @@
 // Small helpers for coroutines on one thread.
 #pragma once
+#include "common/time.hpp"
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -19,15 +20,18 @@
 template <class T>
 using awaitable = asio::awaitable<T>;
 
-// Seconds on the steady clock; the core logic takes time in this form only.
-inline double now_s() {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
-        .count();
+// The steady clock. Only routines that do input or output read it; decisions are given the time.
+inline time_point steady_now() {
+    return std::chrono::steady_clock::now();
 }
 
-inline std::chrono::steady_clock::duration seconds(double s) {
-    return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-        std::chrono::duration<double>(s));
+inline wall_time wall_now() {
+    return std::chrono::system_clock::now();
+}
+
+// In the unit of Asio's timers.
+inline std::chrono::steady_clock::duration timer_ticks(seconds length) {
+    return std::chrono::duration_cast<std::chrono::steady_clock::duration>(length);
 }
 
 // Starts a duty. What escapes it is logged: one broken exchange must not end the process.
@@ -43,9 +47,9 @@
     });
 }
 
-inline awaitable<void> sleep_s(double s) {
+inline awaitable<void> sleep_for(seconds length) {
     asio::steady_timer timer(co_await asio::this_coro::executor);
-    timer.expires_after(seconds(s));
+    timer.expires_after(timer_ticks(length));
     boost::system::error_code ec;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
@@ -61,12 +65,12 @@
         boost::system::error_code ec;
         co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
-    // Waits for a notification, at most for s seconds. The flag is shared, since the limit's
-    // handler may still be queued when the waiting coroutine has gone on.
-    awaitable<void> wait_for(double s) {
+    // Waits for a notification, but at most for the given time. The flag is shared, since the
+    // limit's handler may still be queued when the waiting coroutine has gone on.
+    awaitable<void> wait_for(seconds most) {
         auto limit = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor);
         auto over = std::make_shared<bool>(false);
-        limit->expires_after(seconds(s));
+        limit->expires_after(timer_ticks(most));
         limit->async_wait([this, over](boost::system::error_code ec) {
             if (!ec && !*over)
                 timer_.cancel();
