--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -47,7 +47,7 @@
             co_return;
         if (ec) {
             // Out of sockets: let some close rather than spin.
-            co_await sleep_s(0.05);
+            co_await sleep_for(seconds{0.05});
             continue;
         }
         // Shed what is beyond the bound, so that workers and peers keep their sockets.
@@ -74,7 +74,7 @@
         http::request_parser<http::string_body> parser;
         parser.body_limit(constants::body_limit);
         parser.header_limit(16 * 1024);
-        stream.expires_after(seconds(first ? limits_.request_s : limits_.idle_s));
+        stream.expires_after(timer_ticks(first ? limits_.request_timeout : limits_.idle_timeout));
         first = false;
         co_await http::async_read_header(stream, buffer, parser,
                                          asio::redirect_error(asio::use_awaitable, ec));
@@ -82,7 +82,7 @@
         if (ec && !too_large)
             break;
         if (!too_large) {
-            stream.expires_after(seconds(limits_.request_s));
+            stream.expires_after(timer_ticks(limits_.request_timeout));
             if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
                 http::response<http::empty_body> go(http::status::continue_, 11);
                 co_await http::async_write(stream, go,
@@ -119,7 +119,7 @@
         out.keep_alive(keep);
         out.body() = std::move(answer.body);
         out.prepare_payload();
-        stream.expires_after(seconds(limits_.request_s));
+        stream.expires_after(timer_ticks(limits_.request_timeout));
         co_await http::async_write(stream, out, asio::redirect_error(asio::use_awaitable, ec));
         if (ec || !keep)
             break;
@@ -139,16 +139,16 @@
 client::~client() = default;
 
 awaitable<reply> client::call(std::string method, std::string target, std::string body,
-                              double timeout_s, bool cbor, permission permitted) {
+                              seconds timeout, bool cbor, permission permitted) {
     reply r;
-    used_at_ = now_s();
+    used_at_ = steady_now();
     boost::system::error_code ec;
     std::unique_ptr<connection> c;
     if (!idle_.empty()) {
         c = std::move(idle_.back());
         idle_.pop_back();
     }
-    auto deadline = std::chrono::steady_clock::now() + seconds(timeout_s);
+    auto deadline = std::chrono::steady_clock::now() + timer_ticks(timeout);
     bool reused = static_cast<bool>(c);
     for (;;) {
         if (!c) {
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,6 @@
 // HTTP/1.1 over Beast: a server with bounds, and clients that reuse their connections.
 #pragma once
+#include "common/time.hpp"
 #include "net/async.hpp"
 #include "settings/settings.hpp"
 #include <boost/asio/ip/tcp.hpp>
@@ -26,7 +27,8 @@
 
 struct server_limits {
     std::size_t connections = 1000;
-    double idle_s = 75, request_s = 5;
+    seconds idle_timeout{75};
+    seconds request_timeout{5};
 };
 
 class server {
@@ -77,9 +79,9 @@
     client(asio::io_context &io, const settings::address &to, std::size_t idle);
     ~client();
     // A request that is not permitted any more counts as not sent.
-    awaitable<reply> call(std::string method, std::string target, std::string body,
-                          double timeout_s, bool cbor = false, permission permitted = {});
-    double used_at() const { return used_at_; } // s; when it was last called
+    awaitable<reply> call(std::string method, std::string target, std::string body, seconds timeout,
+                          bool cbor = false, permission permitted = {});
+    time_point used_at() const { return used_at_; } // when it was last called
 
   private:
     struct connection;
@@ -87,7 +89,7 @@
     asio::io_context &io_;
     settings::address to_;
     std::size_t idle_limit_;
-    double used_at_ = now_s();
+    time_point used_at_ = steady_now();
     std::list<std::unique_ptr<connection>> idle_;
 };
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -15,7 +15,7 @@
 namespace spindlecroft::settings {
 
 operator_options::operator_options()
-    : spare_replicas(constants::spare_replicas), drain_target_s(constants::drain_target_s),
+    : spare_replicas(constants::spare_replicas), drain_target(constants::drain_target),
       fleet_limit(constants::fleet_limit) {}
 
 const team *settings::find_team(const std::string &name) const {
@@ -152,7 +152,7 @@
     s.cloud = parse_address(text_at(services, "cloud", "services"), "services.cloud");
     s.state = parse_address(text_at(services, "state", "services"), "services.state");
     const auto &cluster = table_at(root, "cluster", "");
-    s.time_bound_s = number_at(cluster, "time_bound_ms", "cluster", 0, 1000.0) / 1000;
+    s.clock_bound = seconds{number_at(cluster, "time_bound_ms", "cluster", 0, 1000.0) / 1000};
     if (const auto *node = cluster.get("teams")) {
         if (!node->is_array())
             fail("cluster.teams", "must be a list of tables");
@@ -187,14 +187,14 @@
             o.job_class = t["class"].value_or(std::string());
             o.share = t["share"].value_or(0.0);
             o.times = t["times"].value_or(0.0);
-            o.within_s = t["within_s"].value_or(0.0);
+            o.within = seconds{t["within_s"].value_or(0.0)};
             s.objectives.push_back(o);
         }
     }
     const auto &workers = table_at(cluster, "workers", "cluster");
-    s.heartbeat_interval_s = number_at(workers, "report_s", "cluster.workers", 0.1);
-    s.lease_s = number_at(workers, "lease_s", "cluster.workers", 1);
-    s.cancel_s = number_at(workers, "cancel_s", "cluster.workers", 1);
+    s.heartbeat_interval = seconds{number_at(workers, "report_s", "cluster.workers", 0.1)};
+    s.lease_duration = seconds{number_at(workers, "lease_s", "cluster.workers", 1)};
+    s.cancel_deadline = seconds{number_at(workers, "cancel_s", "cluster.workers", 1)};
     const auto &state = table_at(cluster, "state", "cluster");
     s.state_rps = number_at(state, "rps", "cluster.state", 1);
     s.state_write_rps = number_at(state, "write_rps", "cluster.state", 1);
@@ -204,7 +204,7 @@
         read_coming_limits(s, table_at(state, "next", "cluster.state"));
     const auto &cloud = table_at(cluster, "cloud", "cluster");
     s.cloud_rps = number_at(cloud, "rps", "cluster.cloud", 0.1);
-    s.list_lag_s = number_at(cloud, "list_lag_s", "cluster.cloud", 0);
+    s.list_lag = seconds{number_at(cloud, "list_lag_s", "cluster.cloud", 0)};
     const auto &limits = table_at(cluster, "machine_limits", "cluster");
     s.core_share = number_at(limits, "core_share", "cluster.machine_limits", 0.001);
     s.ram_mb = number_at(limits, "ram_mb", "cluster.machine_limits", 8);
@@ -258,7 +258,7 @@
         if (name == "spare-replicas")
             o.spare_replicas = static_cast<int>(number(0, 1000));
         else if (name == "drain-target-s")
-            o.drain_target_s = number(1, 3600);
+            o.drain_target = seconds{number(1, 3600)};
         else if (name == "fleet-limit")
             o.fleet_limit = static_cast<int>(number(1, 100000));
         else if (name == "spot") {
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,5 +1,6 @@
 // Settings: the platform's TOML file and the operators' own S-expression file, both checked.
 #pragma once
+#include "common/time.hpp"
 #include <cstddef>
 #include <optional>
 #include <stdexcept>
@@ -27,13 +28,14 @@
 
 struct objective {
     std::string kind, job_class;
-    double share = 0, times = 0, within_s = 0;
+    double share = 0, times = 0;
+    seconds within{};
 };
 
 // What operators may set themselves.
 struct operator_options {
     int spare_replicas = 0;
-    double drain_target_s = 0;
+    seconds drain_target{};
     bool spot = true;
     int fleet_limit = 0;
     operator_options();
@@ -52,17 +54,20 @@
     address api, back;
     std::vector<member> members; // the others
     address cloud, state;
-    double time_bound_s = 0;
+    seconds clock_bound{};
     std::vector<team> teams;
     std::vector<objective> objectives;
-    double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
+    seconds heartbeat_interval{};
+    seconds lease_duration{};
+    seconds cancel_deadline{};
     double state_rps = 0, state_write_rps = 0;
     // The smaller of the present and the coming limit: what is written stays within both.
     double value_kb = 0;
     int txn_ops = 0;
     // The coming limit, used once the service shows that it is in force; nothing: it stays.
     std::optional<double> next_state_write_rps;
-    double cloud_rps = 0, list_lag_s = 0;
+    double cloud_rps = 0;
+    seconds list_lag{};
     double core_share = 0, ram_mb = 0;
     int max_connections = 0;
     operator_options ops;
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -93,9 +93,9 @@
 
 // Guards against submissions that fail for minutes after an outage: users repeat each request every
 // second, and what they have given up on would all be sent first, a few changes a second.
-void committer::drop_given_up(auto &units, double now) {
+void committer::drop_given_up(auto &units, time_point now) {
     std::erase_if(units, [&](unit &u) {
-        if (u.give_up_at <= 0 || now < u.give_up_at)
+        if (!u.give_up_at || now < *u.give_up_at)
             return false;
         if (u.result)
             u.result(unit_outcome::lost, 0);
@@ -105,12 +105,12 @@
 
 awaitable<void> committer::run() {
     while (!stopping_) {
-        drop_given_up(waiting_, net::now_s());
+        drop_given_up(waiting_, net::steady_now());
         if (waiting_.empty()) {
-            co_await wake_.wait_for(1.0);
+            co_await wake_.wait_for(seconds{1});
             continue;
         }
-        co_await net::sleep_s(c::commit_gap_s);
+        co_await net::sleep_for(c::commit_gap);
         auto chosen = choose_units(waiting_, settings_.txn_ops, c::txn_bytes);
         std::vector<unit> batch;
         for (auto i = chosen.rbegin(); i != chosen.rend(); ++i) {
@@ -189,11 +189,11 @@
         co_return next_step::settled;
     case txn_outcome::unknown:
         t.unsure = true;
-        co_await net::sleep_s(c::state_retry_s);
+        co_await net::sleep_for(c::state_retry);
         // The same again: its conditions hold at most once.
         co_return again_if_permitted(batch);
     case txn_outcome::refused:
-        co_await net::sleep_s(c::state_retry_s);
+        co_await net::sleep_for(c::state_retry);
         co_return on_refused(t, batch);
     case txn_outcome::bad:
         co_return co_await on_too_large(t, answer.error, batch);
@@ -225,7 +225,7 @@
 committer::next_step committer::on_refused(const transaction &t, std::vector<unit> &batch) {
     if (t.unsure || !permitted())
         return again_if_permitted(batch);
-    drop_given_up(batch, net::now_s());
+    drop_given_up(batch, net::steady_now());
     std::stable_sort(batch.begin(), batch.end(),
                      [](auto &a, auto &b) { return a.priority < b.priority; });
     while (batch.size() > t.kept_after_refusal) {
@@ -309,7 +309,7 @@
         }
         if (!permitted())
             co_return std::nullopt;
-        co_await net::sleep_s(c::state_retry_s);
+        co_await net::sleep_for(c::state_retry);
     }
 }
 
@@ -319,7 +319,7 @@
                                                            std::vector<unit> &batch) {
     if (fence_failed)
         fence_failed();
-    co_await net::sleep_s(c::state_retry_s);
+    co_await net::sleep_for(c::state_retry);
     auto now = fence();
     if (!now) {
         tell(batch, unit_outcome::lost);
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -1,11 +1,13 @@
 // Group commit: changes that arrive close together share a transaction. One transaction is open at
 // a time, so that a change of unknown outcome is settled before the next one.
 #pragma once
+#include "common/time.hpp"
 #include "store/key_value_client.hpp"
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 
 namespace spindlecroft::store {
@@ -21,8 +23,8 @@
     std::vector<txn_condition> when; // on keys that others write too
     std::vector<txn_op> ops;
     request_priority priority = request_priority::rest;
-    bool owned = false;    // keys without a condition are ours alone; their versions are known here
-    double give_up_at = 0; // s; not sent any more from then on; 0: never given up
+    bool owned = false; // keys without a condition are ours alone; their versions are known here
+    std::optional<time_point> give_up_at; // not sent any more from then on
     std::function<void(unit_outcome, std::uint64_t revision)> result;
     std::function<void(std::uint64_t revision)> noted; // once it is durable, before `result`
 };
@@ -89,7 +91,7 @@
     // Gives every unit of the batch its outcome and empties it.
     static void tell(std::vector<unit> &batch, unit_outcome how, std::uint64_t revision = 0);
     bool permitted() const; // to send a transaction now
-    static void drop_given_up(auto &units, double now);
+    static void drop_given_up(auto &units, time_point now);
     void note(const txn_op &o, std::uint64_t revision);
     key_value_client &state_;
     const settings::settings &settings_;
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -7,9 +7,9 @@
 namespace c = constants;
 using net::awaitable;
 
-bool budget::take(double n, request_priority u, double now) {
-    if (last_ >= 0)
-        tokens_ = std::min(burst_, tokens_ + (now - last_) * rate_);
+bool budget::take(double n, request_priority u, time_point now) {
+    if (last_)
+        tokens_ = std::min(burst_, tokens_ + (now - *last_).count() * rate_);
     last_ = now;
     // Each step down in urgency leaves another tenth of the burst to those above.
     double reserve = 0.08 * static_cast<int>(u) * burst_;
@@ -25,7 +25,7 @@
 
 key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &s)
     : client_(io, s.state, 8), settings_(s), requests_(1), writes_(1),
-      write_rate_(s.state_write_rps, s.next_state_write_rps), last_ok_(net::now_s()) {
+      write_rate_(s.state_write_rps, s.next_state_write_rps), last_ok_(net::steady_now()) {
     leading(false);
 }
 
@@ -49,14 +49,14 @@
     writes_.set_rate(std::max(2.0, c::state_share * write_rate_.limit() * share));
 }
 
-bool write_line::may_go(ticket t, request_priority u, double now) const {
+bool write_line::may_go(ticket t, request_priority u, time_point now) const {
     if (u <= request_priority::cancel || waiting_.empty() || waiting_.front() == *t)
         return true;
-    return now - waiting_.front() <= constants::write_patience_s;
+    return now - waiting_.front() <= constants::write_patience;
 }
 
-request_priority write_line::priority_of(ticket t, request_priority u, double now) const {
-    return now - *t > constants::write_patience_s ? std::min(u, request_priority::cancel) : u;
+request_priority write_line::priority_of(ticket t, request_priority u, time_point now) const {
+    return now - *t > constants::write_patience ? std::min(u, request_priority::cancel) : u;
 }
 
 awaitable<void> key_value_client::admit(request_priority u, double writes) {
@@ -64,14 +64,14 @@
         std::shared_ptr<write_line> line;
         write_line::ticket ticket;
         explicit place(std::shared_ptr<write_line> l)
-            : line(std::move(l)), ticket(line->enter(net::now_s())) {}
+            : line(std::move(l)), ticket(line->enter(net::steady_now())) {}
         ~place() { line->leave(ticket); }
     };
     std::optional<place> in_line;
     if (writes > 0)
         in_line.emplace(line_);
     for (;;) {
-        double now = net::now_s();
+        auto now = net::steady_now();
         // Leadership is never made to wait by our own bookkeeping.
         if (u == request_priority::leadership) {
             requests_.take(1, u, now);
@@ -85,16 +85,16 @@
             turn = line_->may_go(in_line->ticket, u, now);
         }
         if (turn && (writes <= 0 || writes_.take(writes, priority, now))) {
-            while (!requests_.take(1, priority, net::now_s()))
-                co_await net::sleep_s(0.02);
+            while (!requests_.take(1, priority, net::steady_now()))
+                co_await net::sleep_for(seconds{0.02});
             co_return;
         }
-        co_await net::sleep_s(0.02);
+        co_await net::sleep_for(seconds{0.02});
     }
 }
 
 awaitable<net::reply> key_value_client::call(std::string method, std::string target,
-                                             std::string body, double timeout, request_priority u,
+                                             std::string body, seconds timeout, request_priority u,
                                              double writes, net::permission permitted) {
     co_await admit(u, writes);
     ++requests;
@@ -109,7 +109,7 @@
         } else if (r.status == 503) {
             failed_since_ok_ = true;
         } else {
-            last_ok_ = net::now_s();
+            last_ok_ = net::steady_now();
             failed_since_ok_ = false;
         }
     } else {
@@ -119,20 +119,20 @@
 }
 
 void key_value_client::on_too_many_writes() {
-    if (write_rate_.refused(net::now_s())) {
+    if (write_rate_.refused(net::steady_now())) {
         spdlog::info("the state service allows {} changes a second now", write_rate_.limit());
         set_rates();
     }
     writes_.drain();
 }
 
-bool key_value_client::serving(double now) const {
-    return !failed_since_ok_ && silence(now) < c::served_s;
+bool key_value_client::serving(time_point now) const {
+    return !failed_since_ok_ && silence(now) < c::served_within;
 }
 
 awaitable<std::optional<key_value_client::item>> key_value_client::get(std::string key,
                                                                        request_priority u) {
-    auto r = co_await call("GET", "/kv/" + key, "", c::state_timeout_s, u);
+    auto r = co_await call("GET", "/kv/" + key, "", c::state_timeout, u);
     item i;
     try {
         if (r.ok()) {
@@ -156,7 +156,7 @@
     std::string after;
     for (;;) {
         auto r = co_await call("GET", wire::range_target(prefix, after, c::page_items), "",
-                               c::state_timeout_s * 2, u);
+                               c::state_timeout * 2, u);
         if (!r.ok())
             co_return std::nullopt;
         try {
@@ -181,7 +181,7 @@
                         bool &gone) {
     gone = false;
     auto r = co_await call("GET", wire::watch_target(prefix, since, hold_ms), "",
-                           c::state_timeout_s + hold_ms / 1000.0, u);
+                           c::state_timeout + seconds{hold_ms / 1000.0}, u);
     if (r.how == net::outcome::answered && r.status == 410)
         gone = true;
     if (!r.ok())
@@ -198,7 +198,7 @@
                                                std::vector<txn_op> ops, request_priority u,
                                                net::permission permitted) {
     auto n = static_cast<double>(ops.size());
-    auto r = co_await call("POST", "/commit", wire::encode_txn(when, ops), c::state_timeout_s, u, n,
+    auto r = co_await call("POST", "/commit", wire::encode_txn(when, ops), c::state_timeout, u, n,
                            std::move(permitted));
     txn_result t;
     if (r.how == net::outcome::not_sent) {
@@ -233,9 +233,10 @@
     co_return t;
 }
 
-awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(double ttl_s) {
-    auto r = co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl_s * 1000)),
-                           c::state_timeout_s, request_priority::leadership);
+awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(seconds ttl) {
+    auto r =
+        co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl.count() * 1000)),
+                      c::state_timeout, request_priority::leadership);
     if (!r.ok())
         co_return std::nullopt;
     try {
@@ -247,7 +248,7 @@
 }
 
 awaitable<key_value_client::renewal> key_value_client::renew(std::uint64_t lease) {
-    auto r = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}", c::leader_renew_s,
+    auto r = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}", c::leader_renew,
                            request_priority::leadership);
     if (r.ok())
         co_return renewal::ok;
@@ -257,7 +258,7 @@
 }
 
 awaitable<void> key_value_client::end_lease(std::uint64_t lease) {
-    co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::state_timeout_s,
+    co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::state_timeout,
                   request_priority::leadership);
 }
 
--- a/src/store/key_value_client.hpp
+++ b/src/store/key_value_client.hpp
@@ -1,6 +1,7 @@
 // The client of the key-value store: a request budget with priorities, and the calls of its
 // protocol.
 #pragma once
+#include "common/time.hpp"
 #include "net/http.hpp"
 #include "store/write_rate.hpp"
 #include "wire/codec.hpp"
@@ -16,31 +17,33 @@
 // A budget that refills with time; lower urgencies leave a reserve for higher ones. Pure.
 class budget {
   public:
-    budget(double per_s, double burst_s = 1.0) : rate_(per_s), burst_(per_s * burst_s) {
+    explicit budget(double per_s, seconds burst = seconds{1})
+        : rate_(per_s), burst_(per_s * burst.count()) {
         tokens_ = burst_;
     }
     // Takes n if allowed; otherwise returns false and takes nothing.
-    bool take(double n, request_priority u, double now);
+    bool take(double n, request_priority u, time_point now);
     void set_rate(double per_s) { rate_ = per_s, burst_ = per_s; }
     void drain() { tokens_ = 0; } // the service refused: others used it up
 
   private:
-    double rate_, burst_, tokens_ = 0, last_ = -1;
+    double rate_, burst_, tokens_ = 0;
+    std::optional<time_point> last_;
 };
 
 // Changes that wait for the budget. The more urgent go first, but not past one that has waited
 // long: while submissions keep coming, rentals and placements would never have their turn. Pure.
 class write_line {
   public:
-    using ticket = std::list<double>::iterator;
-    ticket enter(double now) { return waiting_.insert(waiting_.end(), now); }
+    using ticket = std::list<time_point>::iterator;
+    ticket enter(time_point now) { return waiting_.insert(waiting_.end(), now); }
     void leave(ticket t) { waiting_.erase(t); }
-    bool may_go(ticket t, request_priority u, double now) const;
+    bool may_go(ticket t, request_priority u, time_point now) const;
     // Who has waited long takes from the reserve of the more urgent.
-    request_priority priority_of(ticket t, request_priority u, double now) const;
+    request_priority priority_of(ticket t, request_priority u, time_point now) const;
 
   private:
-    std::list<double> waiting_; // since when, s
+    std::list<time_point> waiting_; // since when
 };
 
 enum class txn_outcome { committed, conflict, refused, unknown, bad };
@@ -72,15 +75,15 @@
     virtual net::awaitable<txn_result> commit(std::vector<txn_condition> when,
                                               std::vector<txn_op> ops, request_priority u,
                                               net::permission permitted = {});
-    virtual net::awaitable<std::optional<std::uint64_t>> new_lease(double ttl_s);
+    virtual net::awaitable<std::optional<std::uint64_t>> new_lease(seconds ttl);
     enum class renewal { ok, ended, unsure };
     virtual net::awaitable<renewal> renew(std::uint64_t lease);
     virtual net::awaitable<void> end_lease(std::uint64_t lease);
 
-    // Seconds since the service last answered properly.
-    double silence(double now) const { return now - last_ok_; }
+    // Since the service last answered properly.
+    seconds silence(time_point now) const { return now - last_ok_; }
     // Whether it serves this node as far as known: it answered of late, and nothing failed since.
-    bool serving(double now) const;
+    bool serving(time_point now) const;
     void leading(bool yes); // the leader may use more of the budget
     // Changes a second that the service allows all controllers together.
     double write_limit() const { return write_rate_.limit(); }
@@ -89,7 +92,7 @@
   private:
     net::awaitable<void> admit(request_priority u, double writes);
     net::awaitable<net::reply> call(std::string method, std::string target, std::string body,
-                                    double timeout, request_priority u, double writes = 0,
+                                    seconds timeout, request_priority u, double writes = 0,
                                     net::permission permitted = {});
     net::client client_;
     const settings::settings &settings_;
@@ -100,7 +103,7 @@
     bool leading_ = false;
     // Shared with those who wait: at the end of the program their coroutines outlive the client.
     std::shared_ptr<write_line> line_ = std::make_shared<write_line>();
-    double last_ok_;
+    time_point last_ok_;
     bool failed_since_ok_ = false; // refused or without an answer
 };
 
--- a/src/store/write_rate.cpp
+++ b/src/store/write_rate.cpp
@@ -6,10 +6,10 @@
 namespace c = constants;
 
 // A single refusal may come of controllers that were busy in the same second.
-bool write_rate::refused(double now) {
+bool write_rate::refused(time_point now) {
     if (!next_)
         return false;
-    if (now - window_began_ > c::refusal_window_s) {
+    if (!window_began_ || now - *window_began_ > c::refusal_window) {
         window_began_ = now;
         refusals_ = 0;
     }
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -76,6 +76,26 @@
     return v ? amount_of(*v, field) : fallback;
 }
 
+// A time of day, in seconds since the epoch.
+double epoch_seconds(wall_time t) {
+    return t.time_since_epoch().count();
+}
+
+wall_time wall_time_of(double epoch_seconds) {
+    return wall_time{seconds{epoch_seconds}};
+}
+
+// The same, where 0 stands for a time that is not known.
+double epoch_seconds(std::optional<wall_time> t) {
+    return t ? epoch_seconds(*t) : 0;
+}
+
+std::optional<wall_time> known_wall_time(double epoch_seconds) {
+    if (epoch_seconds > 0)
+        return wall_time_of(epoch_seconds);
+    return std::nullopt;
+}
+
 std::uint64_t count(const json::object &o, const char *field) {
     auto &v = need(o, field);
     if (v.is_uint64())
@@ -135,7 +155,7 @@
         o["thread"] = x.job + "/" + std::to_string(x.index);
         o["try"] = x.attempt;
         if (x.kind == command_kind::stop)
-            o["slackS"] = x.grace_s;
+            o["slackS"] = x.grace.count();
         a.push_back(std::move(o));
     }
     json::object out;
@@ -169,11 +189,11 @@
     o["samePlace"] = s.same_zone;
     o["scatter"] = s.spread;
     o["loaners"] = s.spot;
-    o["reckonS"] = s.estimate_s;
-    o["knotS"] = s.checkpoint_interval_s;
-    o["tieS"] = s.checkpoint_duration_s;
-    if (s.deadline_s)
-        o["dueS"] = *s.deadline_s;
+    o["reckonS"] = s.estimate.count();
+    o["knotS"] = s.checkpoint_interval.count();
+    o["tieS"] = s.checkpoint_duration.count();
+    if (s.deadline)
+        o["dueS"] = s.deadline->count();
     if (!s.predecessors.empty())
         o["awaits"] = json::value_from(s.predecessors);
     return o;
@@ -240,11 +260,11 @@
     s.same_zone = flag_or(o, "samePlace", false);
     s.spread = flag_or(o, "scatter", false);
     s.spot = flag_or(o, "loaners", false);
-    s.estimate_s = amount_or(o, "reckonS", 0);
-    s.checkpoint_interval_s = amount_or(o, "knotS", 0);
-    s.checkpoint_duration_s = amount_or(o, "tieS", 0);
+    s.estimate = seconds{amount_or(o, "reckonS", 0)};
+    s.checkpoint_interval = seconds{amount_or(o, "knotS", 0)};
+    s.checkpoint_duration = seconds{amount_or(o, "tieS", 0)};
     if (find(o, "dueS"))
-        s.deadline_s = amount(o, "dueS");
+        s.deadline = seconds{amount(o, "dueS")};
     if (find(o, "awaits"))
         s.predecessors = predecessors_of(list(o, "awaits"), s.id);
     return s;
@@ -327,7 +347,7 @@
     r.sequence = count(o, "tally");
     r.token = count(o, "warrant");
     if (find(o, "recallS"))
-        r.reclaim_notice_s = amount(o, "recallS");
+        r.reclaim_notice = seconds{amount(o, "recallS")};
     if (find(o, "threads"))
         for (auto &v : list(o, "threads")) {
             auto &t = object_of(v, "threads");
@@ -393,7 +413,7 @@
         m.fetch_gb_per_s = amount_or(t, "pullGbPerS", 0);
         m.price = amount_or(t, "hourly", 0);
         m.spot_price = amount_or(t, "marketPrice", 0);
-        m.boot_s = amount_or(t, "startupS", 0);
+        m.boot_time = seconds{amount_or(t, "startupS", 0)};
         for (auto &z : list(t, "crofts")) {
             if (!z.is_string())
                 fail("crofts", "must hold texts");
@@ -416,7 +436,7 @@
         o["pullGbPerS"] = m.fetch_gb_per_s;
         o["hourly"] = m.price;
         o["marketPrice"] = m.spot_price;
-        o["startupS"] = m.boot_s;
+        o["startupS"] = m.boot_time.count();
         json::array z;
         for (auto &x : m.zones)
             z.emplace_back(x);
@@ -473,7 +493,7 @@
         h.state = s == "running"  ? machine_state::running
                   : s == "failed" ? machine_state::failed
                                   : machine_state::booting;
-        h.age_s = amount_or(t, "heldS", 0);
+        h.age = seconds{amount_or(t, "heldS", 0)};
         p.hosts.push_back(std::move(h));
     }
     p.more = flag_or(o, "more", false);
@@ -599,9 +619,9 @@
 std::string encode_job_record(const job_record &r) {
     json::object o;
     o["cancelled"] = r.cancelled;
-    o["at"] = r.accepted_at;
+    o["at"] = epoch_seconds(r.accepted_at);
     if (r.cancelled)
-        o["cancelledAt"] = r.cancelled_at;
+        o["cancelledAt"] = epoch_seconds(r.cancelled_at);
     o[r.spec.predecessors.empty() ? "job" : dependent_job] = spec_object(r.spec);
     return json::serialize(o);
 }
@@ -610,8 +630,8 @@
     auto o = parse_object(value);
     job_record r;
     r.cancelled = flag(o, "cancelled");
-    r.accepted_at = amount(o, "at");
-    r.cancelled_at = amount_or(o, "cancelledAt", 0);
+    r.accepted_at = wall_time_of(amount(o, "at"));
+    r.cancelled_at = known_wall_time(amount_or(o, "cancelledAt", 0));
     auto *field = find(o, dependent_job) ? dependent_job : "job";
     r.spec = spec_of(object_of(need(o, field), field));
     return r;
@@ -621,8 +641,8 @@
     json::object o;
     o["stage"] = state_word(r.state);
     o["done"] = r.done;
-    if (r.at > 0)
-        o["at"] = r.at; // versions before 0.5 pass over it
+    if (r.at > wall_time{})
+        o["at"] = epoch_seconds(r.at); // versions before 0.5 pass over it
     return json::serialize(o);
 }
 
@@ -632,7 +652,7 @@
     r.state =
         text(o, "stage") == state_word(job_state::done) ? job_state::done : job_state::cancelled;
     r.done = static_cast<std::uint32_t>(count(o, "done"));
-    r.at = amount_or(o, "at", 0);
+    r.at = known_wall_time(amount_or(o, "at", 0));
     return r;
 }
 
@@ -759,7 +779,7 @@
 
 std::string encode_rental_record(const rental_record &r) {
     json::object o;
-    o["at"] = r.at;
+    o["at"] = epoch_seconds(r.at);
     json::array a;
     for (auto &q : r.requests)
         a.push_back(json::array{q.request, q.type, q.zone, q.spot, q.count});
@@ -777,7 +797,7 @@
 rental_record parse_rental_record(const std::string &value) {
     auto o = parse_object(value);
     rental_record r;
-    r.at = amount(o, "at");
+    r.at = wall_time_of(amount(o, "at"));
     for (auto &v : list(o, "requests")) {
         if (!v.is_array() || v.get_array().size() != 5)
             fail("requests", "must hold lists of five");
@@ -813,8 +833,8 @@
         cbor_item_t *entry = cbor_new_definite_array(3);
         (void)cbor_array_push(entry, text(c.job));
         (void)cbor_array_push(entry, number(c.revision));
-        (void)cbor_array_push(entry,
-                              number(static_cast<std::uint64_t>(std::max(0.0, c.at) * 1000))); // ms
+        (void)cbor_array_push(entry, number(static_cast<std::uint64_t>(
+                                         std::max(0.0, epoch_seconds(c.at)) * 1000))); // ms
         (void)cbor_array_push(cancels, cbor_move(entry));
     }
     (void)cbor_map_add(map, {text("cancels"), cbor_move(cancels)});
@@ -868,8 +888,9 @@
                 if (!is_text(f[0]) || !cbor_isa_uint(f[1]) || !cbor_isa_uint(f[2]))
                     throw malformed_message(
                         "peer: cancels: an entry is a job, a revision and a time");
-                m.cancels.push_back({text(f[0]), cbor_get_int(f[1]),
-                                     static_cast<double>(cbor_get_int(f[2])) / 1000.0});
+                m.cancels.push_back(
+                    {text(f[0]), cbor_get_int(f[1]),
+                     known_wall_time(static_cast<double>(cbor_get_int(f[2])) / 1000.0)});
             }
         }
     }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,5 +1,6 @@
 // JSON and CBOR codecs: validation of what comes in, the words of the wire for what goes out.
 #pragma once
+#include "common/time.hpp"
 #include "wire/types.hpp"
 #include <map>
 #include <stdexcept>
@@ -82,8 +83,8 @@
 // --- our records in the key-value store ---
 struct job_record {
     bool cancelled = false;
-    double accepted_at = 0;  // s, time of day
-    double cancelled_at = 0; // s, time of day; 0: unknown
+    wall_time accepted_at{};
+    std::optional<wall_time> cancelled_at; // nothing: unknown
     job_spec spec;
 };
 std::string encode_job_record(const job_record &r);
@@ -91,7 +92,7 @@
 struct ended_record {
     job_state state = job_state::done;
     std::uint32_t done = 0;
-    double at = 0; // s, time of day; 0: unknown, as in records of versions before 0.5
+    std::optional<wall_time> at; // nothing: unknown, as in records of versions before 0.5
 };
 std::string encode_ended(const ended_record &r);
 ended_record parse_ended(const std::string &value);
@@ -135,7 +136,7 @@
 // machines' names need not be kept.
 struct rental_record {
     std::vector<rental_request> requests;
-    double at = 0; // s, time of day
+    wall_time at{};
 };
 std::string encode_rental_record(const rental_record &r);
 // What one more request adds to the record, at most; one without a name: the record without any.
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -1,5 +1,6 @@
 // What travels, in the field's standard terms. Only wire/codec.cpp knows the words on the wire.
 #pragma once
+#include "common/time.hpp"
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -22,8 +23,10 @@
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
     bool same_zone = false, spread = false, spot = false;
-    double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
-    std::optional<double> deadline_s;
+    seconds estimate{};
+    seconds checkpoint_interval{};
+    seconds checkpoint_duration{};
+    std::optional<seconds> deadline;
     std::vector<std::string> predecessors; // jobs that must be done before any task starts
 };
 
@@ -43,7 +46,7 @@
     std::string machine, address, type, zone;
     bool spot = false;
     std::uint64_t incarnation = 0, sequence = 0, token = 0;
-    std::optional<double> reclaim_notice_s;
+    std::optional<seconds> reclaim_notice;
     std::vector<task_status> tasks;
     // The message with the larger (incarnation, seq) is the newer one.
     bool newer_than(std::uint64_t s, std::uint64_t q) const {
@@ -57,13 +60,14 @@
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
-    double grace_s = 0;
+    seconds grace{};
 };
 
 struct machine_type {
     std::string name;
     double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;
-    double price = 0, spot_price = 0, boot_s = 0;
+    double price = 0, spot_price = 0;
+    seconds boot_time{};
     std::vector<std::string> zones;
 };
 
@@ -74,7 +78,7 @@
     std::string id, address, type, zone;
     bool spot = false;
     machine_state state = machine_state::booting;
-    double age_s = 0;
+    seconds age{};
 };
 
 struct rental_request {
@@ -92,8 +96,8 @@
 // A cancel that is durable at the key-value store.
 struct cancel_notice {
     std::string job;
-    std::uint64_t revision = 0; // of the job's record that says so
-    double at = 0;              // s, time of day; not after the user was told
+    std::uint64_t revision = 0;  // of the job's record that says so
+    std::optional<wall_time> at; // not after the user was told; nothing: unknown
     bool operator==(const cancel_notice &) const = default;
 };
 
--- a/src/workers/failure_ledger.cpp
+++ b/src/workers/failure_ledger.cpp
@@ -8,7 +8,7 @@
 
 namespace c = constants;
 
-bool failure_ledger::attempt_failed(const failure &f, double now) {
+bool failure_ledger::attempt_failed(const failure &f, time_point now) {
     auto &machine = machines_[f.machine];
     if (f.job_runs) {
         faulty_.insert(f.machine);
@@ -16,7 +16,7 @@
     }
     auto &job = jobs_[f.job];
     job.failed_at[f.machine] = now;
-    job.longest_run_s = std::max(job.longest_run_s, f.ran_s);
+    job.longest_run = std::max(job.longest_run, f.ran);
     if (job.suspect) {
         delay_retry(job, now);
         return false;
@@ -26,13 +26,13 @@
         return true;
     }
     machine.undecided.insert(f.job);
-    machine.probation_until = now + c::probation_s;
+    machine.probation_until = now + c::probation;
     if (machine.undecided.size() >= c::undecided_jobs)
         faulty_.insert(f.machine);
     return false;
 }
 
-void failure_ledger::make_suspect(const std::string &job, job_entry &entry, double now) {
+void failure_ledger::make_suspect(const std::string &job, job_entry &entry, time_point now) {
     entry.suspect = true;
     delay_retry(entry, now);
     acquit_machines(job, entry);
@@ -46,19 +46,19 @@
             continue;
         i->second.undecided.erase(job);
         if (i->second.undecided.empty())
-            i->second.probation_until = 0;
+            i->second.probation_until = {};
     }
 }
 
-void failure_ledger::delay_retry(job_entry &entry, double now) {
+void failure_ledger::delay_retry(job_entry &entry, time_point now) {
     if (now < entry.retry_at)
         return; // of the same wave of attempts
-    double pause = c::job_backoff_s * std::pow(2.0, std::min(entry.suspect_failures, 10));
-    entry.retry_at = now + std::min(pause, c::job_backoff_max_s);
+    auto pause = c::job_backoff * std::pow(2.0, std::min(entry.suspect_failures, 10));
+    entry.retry_at = now + std::min(pause, c::job_backoff_max);
     ++entry.suspect_failures;
 }
 
-void failure_ledger::machine_ran(const std::string &machine, double created_at) {
+void failure_ledger::machine_ran(const std::string &machine, time_point created_at) {
     auto found = machines_.find(machine);
     if (found == machines_.end())
         return; // nothing failed there
@@ -70,7 +70,7 @@
         i = older ? entry.undecided.erase(i) : std::next(i);
     }
     if (entry.undecided.empty())
-        entry.probation_until = 0;
+        entry.probation_until = {};
 }
 
 void failure_ledger::job_ran(const std::string &job) {
@@ -119,20 +119,20 @@
     return i == jobs_.end() ? 0 : i->second.failed_at.size();
 }
 
-double failure_ledger::retry_at(const std::string &job) const {
+time_point failure_ledger::retry_at(const std::string &job) const {
     auto i = jobs_.find(job);
-    return i == jobs_.end() ? 0 : i->second.retry_at;
+    return i == jobs_.end() ? time_point{} : i->second.retry_at;
 }
 
-double failure_ledger::probation_until(const std::string &machine) const {
+time_point failure_ledger::probation_until(const std::string &machine) const {
     auto i = machines_.find(machine);
-    return i == machines_.end() ? 0 : i->second.probation_until;
+    return i == machines_.end() ? time_point{} : i->second.probation_until;
 }
 
-double failure_ledger::proof_s(const std::string &job) const {
+seconds failure_ledger::proof_duration(const std::string &job) const {
     auto i = jobs_.find(job);
-    double failed_s = i == jobs_.end() ? 0 : i->second.longest_run_s;
-    return c::proof_least_s + c::proof_runs * failed_s;
+    auto failed_run = i == jobs_.end() ? seconds{0} : i->second.longest_run;
+    return c::proof_least + c::proof_runs * failed_run;
 }
 
 std::vector<std::string> failure_ledger::unproven_jobs() const {
@@ -150,7 +150,7 @@
     return out;
 }
 
-void failure_ledger::load_suspect(const std::string &job, double now) {
+void failure_ledger::load_suspect(const std::string &job, time_point now) {
     auto &entry = jobs_[job];
     entry.suspect = true;
     delay_retry(entry, now);
--- a/src/workers/failure_ledger.hpp
+++ b/src/workers/failure_ledger.hpp
@@ -4,6 +4,7 @@
 // runs on another machine proves the machine faulty. A job that fails on two machines and runs on
 // none is suspect: its failures say nothing about machines, and it is retried one task at a time.
 #pragma once
+#include "common/time.hpp"
 #include <cstddef>
 #include <map>
 #include <set>
@@ -16,13 +17,13 @@
   public:
     struct failure {
         std::string job, machine;
-        double ran_s = 0;      // how long the attempt was seen running
+        seconds ran{};         // how long the attempt was seen running
         bool job_runs = false; // the job is known to run on other machines
     };
     // Returns true if this made the job suspect.
-    bool attempt_failed(const failure &f, double now);
+    bool attempt_failed(const failure &f, time_point now);
     // An attempt placed at created_at was seen running on, or completed by, the machine.
-    void machine_ran(const std::string &machine, double created_at);
+    void machine_ran(const std::string &machine, time_point created_at);
     // The job is known to run. Machines on which it failed, and which ran nothing since, are
     // faulty.
     void job_ran(const std::string &job);
@@ -37,35 +38,35 @@
     // On how many machines the job failed.
     std::size_t failed_machines(const std::string &job) const;
     // The time before which a suspect job is not retried.
-    double retry_at(const std::string &job) const;
+    time_point retry_at(const std::string &job) const;
     // While it is not known whose fault a failure was, the machine gets no new work until then.
-    // 0: it is on no probation.
-    double probation_until(const std::string &machine) const;
+    // time_point{}: it is on no probation.
+    time_point probation_until(const std::string &machine) const;
     // An attempt that runs for longer than this shows that the job works.
-    double proof_s(const std::string &job) const;
+    seconds proof_duration(const std::string &job) const;
     // Jobs with a failure that do not count as working, to be looked at from time to time.
     std::vector<std::string> unproven_jobs() const;
 
     // The suspect jobs survive a change of leader in a record.
     std::vector<std::string> suspects() const;
-    void load_suspect(const std::string &job, double now);
+    void load_suspect(const std::string &job, time_point now);
 
   private:
     struct job_entry {
-        std::map<std::string, double> failed_at; // by machine
-        double longest_run_s = 0;
-        double retry_at = 0;
+        std::map<std::string, time_point> failed_at; // by machine
+        seconds longest_run{};
+        time_point retry_at{};
         int suspect_failures = 0;
         bool suspect = false;
     };
     struct machine_entry {
         std::set<std::string> undecided; // jobs that failed there and are neither suspect nor run
-        double probation_until = 0;
-        double ran_at = 0; // creation of the latest attempt that ran there
+        time_point probation_until{};
+        time_point ran_at{}; // creation of the latest attempt that ran there
     };
-    void make_suspect(const std::string &job, job_entry &entry, double now);
+    void make_suspect(const std::string &job, job_entry &entry, time_point now);
     void acquit_machines(const std::string &job, const job_entry &entry);
-    static void delay_retry(job_entry &entry, double now);
+    static void delay_retry(job_entry &entry, time_point now);
 
     std::map<std::string, job_entry> jobs_;
     std::map<std::string, machine_entry> machines_;
--- a/src/workers/machine.cpp
+++ b/src/workers/machine.cpp
@@ -3,7 +3,7 @@
 namespace spindlecroft::workers {
 
 // The worker keeps the most recently used images that fit its disk; we follow the same rule.
-void machine::use_image(const std::string &image, double gb, double now) {
+void machine::use_image(const std::string &image, double gb, time_point now) {
     images[image] = now;
     image_gb[image] = gb;
     double total = 0;
--- a/tests/cancels_test.cpp
+++ b/tests/cancels_test.cpp
@@ -2,6 +2,7 @@
 // key-value store refuses the leader or everybody while users cancel.
 #include "constants.hpp"
 #include "membership/cancel_exchange.hpp"
+#include "test_time.hpp"
 #include "wire/codec.hpp"
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_int_distribution.hpp>
@@ -14,8 +15,11 @@
 #include <set>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using membership::cancel_log;
 using membership::cancel_reader;
+using test::at;
+using test::in_seconds;
 
 namespace {
 
@@ -33,7 +37,7 @@
     cancel_log log{"a#1", 100, 2};
     cancel_reader reader;
     bool loaded = true;
-    list ask(double now, std::uint64_t revision = 0) {
+    list ask(time_point now, std::uint64_t revision = 0) {
         auto q = reader.question(revision);
         auto a = log.answer(q);
         a.loaded = loaded;
@@ -45,84 +49,84 @@
 
 TEST(cancels, come_by_name_and_once) {
     exchange x;
-    x.log.note({"job-1", 5, 0});
-    x.log.note({"job-1", 5, 0}); // learned from the key-value store too
-    x.log.note({"job-2", 4, 0});
-    EXPECT_EQ(x.ask(10), (list{"job-1", "job-2"}));
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 10);
-    EXPECT_EQ(x.ask(11), list{});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 11);
+    x.log.note({"job-1", 5, {}});
+    x.log.note({"job-1", 5, {}}); // learned from the key-value store too
+    x.log.note({"job-2", 4, {}});
+    EXPECT_EQ(x.ask(at(10)), (list{"job-1", "job-2"}));
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 10);
+    EXPECT_EQ(x.ask(at(11)), list{});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 11);
 }
 
 TEST(cancels, more_than_an_answer_holds_leave_the_time_unknown) {
     exchange x;
     for (int i = 1; i <= 5; ++i)
-        x.log.note({"job-" + std::to_string(i), static_cast<std::uint64_t>(i), 0});
-    EXPECT_EQ(x.ask(10), (list{"job-1", "job-2"}));
-    EXPECT_LT(x.reader.known_until(), 0);
-    EXPECT_EQ(x.ask(11), (list{"job-3", "job-4"}));
-    EXPECT_EQ(x.ask(12), list{"job-5"});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 12);
+        x.log.note({"job-" + std::to_string(i), static_cast<std::uint64_t>(i), {}});
+    EXPECT_EQ(x.ask(at(10)), (list{"job-1", "job-2"}));
+    EXPECT_LT(x.reader.known_until(), at(0));
+    EXPECT_EQ(x.ask(at(11)), (list{"job-3", "job-4"}));
+    EXPECT_EQ(x.ask(at(12)), list{"job-5"});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 12);
 }
 
 TEST(cancels, a_lost_answer_is_asked_for_again) {
     exchange x;
-    x.log.note({"job-1", 5, 0});
+    x.log.note({"job-1", 5, {}});
     (void)x.log.answer(x.reader.question(0)); // never arrives
-    EXPECT_EQ(x.ask(11), list{"job-1"});
+    EXPECT_EQ(x.ask(at(11)), list{"job-1"});
 }
 
 TEST(cancels, what_the_reader_has_read_is_left_out_and_forgotten) {
     exchange x;
-    x.log.note({"job-1", 5, 0});
-    x.log.note({"job-2", 9, 0});
+    x.log.note({"job-1", 5, {}});
+    x.log.note({"job-2", 9, {}});
     x.log.forget_upto(5);
     EXPECT_EQ(x.log.size(), 1u);
-    EXPECT_EQ(x.ask(10, 5), list{"job-2"});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 10);
+    EXPECT_EQ(x.ask(at(10), 5), list{"job-2"});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 10);
     // A reader that is further behind can't rely on this log until it has read as far.
     cancel_reader behind;
     auto q = behind.question(4);
     auto a = x.log.answer(q);
     a.loaded = true;
     EXPECT_EQ(a.given_up, 5u);
-    behind.take(q, a, 10);
-    EXPECT_LT(behind.known_until(), 0);
+    behind.take(q, a, at(10));
+    EXPECT_LT(behind.known_until(), at(0));
 }
 
 TEST(cancels, an_overfull_log_says_so) {
     exchange x;
     x.log = cancel_log("a#1", 3, 10);
     for (int i = 1; i <= 5; ++i)
-        x.log.note({"job-" + std::to_string(i), static_cast<std::uint64_t>(i), 0});
-    EXPECT_EQ(x.ask(10), (list{"job-3", "job-4", "job-5"}));
-    EXPECT_LT(x.reader.known_until(), 0);
+        x.log.note({"job-" + std::to_string(i), static_cast<std::uint64_t>(i), {}});
+    EXPECT_EQ(x.ask(at(10)), (list{"job-3", "job-4", "job-5"}));
+    EXPECT_LT(x.reader.known_until(), at(0));
     // What follows is whole, but only a read of the key-value store tells of what was given up.
-    EXPECT_EQ(x.ask(11), list{});
-    EXPECT_LT(x.reader.known_until(), 0);
-    EXPECT_EQ(x.ask(12, 2), list{});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 12);
+    EXPECT_EQ(x.ask(at(11)), list{});
+    EXPECT_LT(x.reader.known_until(), at(0));
+    EXPECT_EQ(x.ask(at(12), 2), list{});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 12);
     EXPECT_EQ(x.log.size(), 3u);
 }
 
 TEST(cancels, a_restarted_controller_speaks_for_nobody_until_it_has_read) {
     exchange x;
-    x.ask(10);
+    x.ask(at(10));
     // It confirmed job-7 and was restarted; the new run knows nothing of it.
     x.log = cancel_log("a#2", 100, 2);
     x.loaded = false;
-    EXPECT_EQ(x.ask(20), list{});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 10);
-    x.log.note({"job-7", 8, 0}); // as read from the key-value store
+    EXPECT_EQ(x.ask(at(20)), list{});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 10);
+    x.log.note({"job-7", 8, {}}); // as read from the key-value store
     x.loaded = true;
-    EXPECT_EQ(x.ask(21), list{"job-7"});
-    EXPECT_DOUBLE_EQ(x.reader.known_until(), 21);
+    EXPECT_EQ(x.ask(at(21)), list{"job-7"});
+    EXPECT_DOUBLE_EQ(in_seconds(x.reader.known_until()), 21);
 }
 
 TEST(cancels, contradictions_count_as_not_heard) {
     exchange x;
-    x.log.note({"job-1", 5, 0});
-    x.ask(10);
+    x.log.note({"job-1", 5, {}});
+    x.ask(at(10));
     auto q = x.reader.question(0);
     for (auto spoil : {+[](membership::cancel_answer &a) { a.after = 0; },
                        +[](membership::cancel_answer &a) { a.upto = 0; },
@@ -132,23 +136,23 @@
         auto a = x.log.answer(q);
         a.loaded = true;
         spoil(a);
-        EXPECT_THROW(reader.take(q, a, 20), wire::malformed_message);
-        EXPECT_DOUBLE_EQ(reader.known_until(), 10);
+        EXPECT_THROW(reader.take(q, a, at(20)), wire::malformed_message);
+        EXPECT_DOUBLE_EQ(in_seconds(reader.known_until()), 10);
         // The next question begins anew and is answered in full.
         auto again = reader.question(0);
         auto whole = x.log.answer(again);
         whole.loaded = true;
-        EXPECT_EQ(names(reader.take(again, whole, 21)), list{"job-1"});
-        EXPECT_DOUBLE_EQ(reader.known_until(), 21);
+        EXPECT_EQ(names(reader.take(again, whole, at(21))), list{"job-1"});
+        EXPECT_DOUBLE_EQ(in_seconds(reader.known_until()), 21);
     }
     // An answer to a question that was asked before the last one arrived.
     auto late = x.log.answer({});
-    EXPECT_THROW(x.reader.take({}, late, 30), wire::malformed_message);
+    EXPECT_THROW(x.reader.take({}, late, at(30)), wire::malformed_message);
 }
 
 TEST(cancels, survive_the_wire_and_another_version_is_refused) {
     wire::peer_message m;
-    m.cancels = {{"job-1", ~0ull, 1764640000.25}, {std::string(100, 'x'), 0, 0}};
+    m.cancels = {{"job-1", ~0ull, test::wall_at(1764640000.25)}, {std::string(100, 'x'), 0, {}}};
     auto text = wire::encode_peer(m);
     EXPECT_EQ(wire::parse_peer(text).cancels, m.cancels);
     auto other = text;
@@ -169,24 +173,24 @@
     // The largest answer fits a message.
     wire::peer_message full;
     for (std::size_t i = 0; i < constants::cancels_per_answer; ++i)
-        full.cancels.push_back({std::string(100, 'x'), ~0ull, 1e12});
+        full.cancels.push_back({std::string(100, 'x'), ~0ull, test::wall_at(1e12)});
     EXPECT_LT(wire::encode_peer(full).size(), constants::body_limit - 1024);
 }
 
 namespace {
 
 // A reader that was last answered at `heard` and told of no cancel.
-cancel_reader heard_at(double heard, double read_age = 1e9) {
+cancel_reader heard_at(time_point heard, seconds read_age = seconds{1e9}) {
     exchange x;
     auto q = x.reader.question(0);
     auto a = x.log.answer(q);
     a.loaded = true;
-    a.read_age_s = read_age;
+    a.read_age = read_age;
     x.reader.take(q, a, heard);
     return x.reader;
 }
 
-double known(double now, double fresh, const std::vector<cancel_reader> &readers) {
+time_point known(time_point now, time_point fresh, const std::vector<cancel_reader> &readers) {
     std::vector<const cancel_reader *> all;
     for (auto &r : readers)
         all.push_back(&r);
@@ -196,24 +200,27 @@
 } // namespace
 
 TEST(cancels, a_blind_leader_lets_leases_end_in_time) {
-    double lease = 14, cancel = 39, fresh = 100;
+    seconds lease = 14s, cancel = 39s;
+    auto fresh = at(100);
     // Neither peer answers any more: a cancel may have been accepted right after the last read.
-    std::vector<cancel_reader> silent = {heard_at(99), heard_at(99)};
-    double last_renewal = 0;
-    for (double now = fresh; now < fresh + 100; now += 0.1)
+    std::vector<cancel_reader> silent = {heard_at(at(99)), heard_at(at(99))};
+    time_point last_renewal{};
+    for (auto now = fresh; now < fresh + 100s; now += seconds{0.1})
         if (membership::may_renew(now, known(now, fresh, silent), lease, cancel))
             last_renewal = now;
-    EXPECT_GT(last_renewal, fresh + 10) << "a short outage must not kill running work";
-    EXPECT_LT(last_renewal + lease * 1.0005, fresh + cancel - 1);
+    EXPECT_GT(last_renewal, fresh + 10s) << "a short outage must not kill running work";
+    EXPECT_LT(last_renewal + lease * 1.0005, fresh + cancel - 1s);
     // In an outage all peers answer, and none has told of a cancel since: work goes on.
-    for (double now = fresh; now < fresh + 300; now += 1) {
-        std::vector<cancel_reader> quiet = {heard_at(now - 1), heard_at(now - 1)};
+    for (auto now = fresh; now < fresh + 300s; now += 1s) {
+        std::vector<cancel_reader> quiet = {heard_at(now - 1s), heard_at(now - 1s)};
         EXPECT_TRUE(membership::may_renew(now, known(now, fresh, quiet), lease, cancel));
     }
     // One peer can't be heard since: only the read counts.
-    EXPECT_DOUBLE_EQ(known(130, fresh, {heard_at(129), heard_at(99)}), fresh);
+    EXPECT_DOUBLE_EQ(in_seconds(known(at(130), fresh, {heard_at(at(129)), heard_at(at(99))})),
+                     in_seconds(fresh));
     // Another has read the key-value store since, and told all that it held: that counts as well.
-    EXPECT_NEAR(known(130, fresh, {heard_at(129, 4), heard_at(99)}), 125, 0.2);
+    EXPECT_NEAR(in_seconds(known(at(130), fresh, {heard_at(at(129), 4s), heard_at(at(99))})), 125,
+                0.2);
 }
 
 namespace {
@@ -222,37 +229,39 @@
 // The leader leads throughout (who leads is tested elsewhere); it may lose the key-value store,
 // single controllers and its workers.
 struct cancel_world {
-    static constexpr double lease_s = 26.5, cancel_s = 51.5, heartbeat_interval_s = 5.0,
-                            step_s = 0.05;
+    static constexpr seconds lease_duration{26.5}, cancel_deadline{51.5}, heartbeat_interval{5.0},
+        step{0.05};
+    static constexpr time_point long_ago = test::at(-1e9);
 
     struct job {
-        double announced_at = -1; // s; when its user was told of the cancel
+        std::optional<time_point> announced_at; // when its user was told of the cancel
         std::uint64_t revision = 0;
         bool known = false; // to the leader
-        double known_at = 0, lease_from = 0, next_report = 0;
+        time_point known_at{}, lease_from{}, next_report{};
         bool there = true, killed = false;
-        double killed_at = 0;
+        time_point killed_at{};
     };
     struct node {
         std::unique_ptr<cancel_log> log;
         int run = 0;
         bool up = true, loaded = false, cut = false;
-        double back_at = 0, fresh_at = -1e9, next_read = 0;
+        time_point back_at{}, fresh_at = long_ago, next_read{};
         std::uint64_t revision = 0;
         cancel_reader reader; // the leader's, of this one
-        double busy_until = 0, next_ask = 0;
+        time_point busy_until{}, next_ask{};
     };
     struct event {
-        double at;
+        time_point at;
         std::function<void()> what;
     };
 
     boost::random::mt19937 random;
     std::vector<node> nodes{5}; // the first leads
     std::map<std::string, job> jobs;
-    std::multimap<double, std::function<void()>> events;
+    std::multimap<time_point, std::function<void()>> events;
     std::uint64_t revision = 10;
-    double now = 100, outage_until = 0, refused_until = 0, mute_until = 0, cloud_down_until = 0;
+    time_point now = test::at(100);
+    time_point outage_until{}, refused_until{}, mute_until{}, cloud_down_until{};
     std::vector<std::string> broken;
     int cancelled = 0, by_name = 0;
     std::size_t kept_entries;
@@ -268,8 +277,9 @@
     double real(double a, double b) {
         return boost::random::uniform_real_distribution<double>(a, b)(random);
     }
+    seconds between(double a, double b) { return seconds{real(a, b)}; }
     int integer(int a, int b) { return boost::random::uniform_int_distribution<int>(a, b)(random); }
-    void at(double t, std::function<void()> f) { events.emplace(t, std::move(f)); }
+    void at(time_point t, std::function<void()> f) { events.emplace(t, std::move(f)); }
     bool served(std::size_t i) const {
         return now >= outage_until && (i != 0 || now >= refused_until);
     }
@@ -279,19 +289,19 @@
         n.log = std::make_unique<cancel_log>(fmt::format("{}#{}", i, ++n.run), kept_entries, 2);
         n.up = true;
         n.loaded = false;
-        n.fresh_at = -1e9;
+        n.fresh_at = long_ago;
         n.revision = 0;
     }
 
     // A read of all records: what is durable now is known.
     void read(std::size_t i) {
         auto &n = nodes[i];
-        n.next_read = now + real(0.1, 2.0);
+        n.next_read = now + between(0.1, 2.0);
         if (!served(i))
             return;
         for (auto &[id, j] : jobs)
             if (j.revision > n.revision) {
-                n.log->note({id, j.revision, 0});
+                n.log->note({id, j.revision, {}});
                 if (i == 0)
                     learn(id);
             }
@@ -317,40 +327,41 @@
             return;
         j.revision = ++revision;
         auto run = nodes[i].run;
-        at(now + real(0.01, 0.8), [this, i, id, run] {
+        at(now + between(0.01, 0.8), [this, i, id, run] {
             if (!nodes[i].up || nodes[i].run != run)
                 return; // its user was told nothing
-            nodes[i].log->note({id, jobs.at(id).revision, 0});
+            nodes[i].log->note({id, jobs.at(id).revision, {}});
             if (i == 0)
                 learn(id);
-            at(now + 0.001, [this, id] { jobs.at(id).announced_at = now; });
+            at(now + seconds{0.001}, [this, id] { jobs.at(id).announced_at = now; });
             ++cancelled;
         });
     }
 
     void ask(std::size_t i) {
         auto &n = nodes[i];
-        n.next_ask = now + constants::leader_renew_s;
+        n.next_ask = now + constants::leader_renew;
         if (now < n.busy_until)
             return;
-        n.busy_until = now + constants::peer_timeout_s;
+        n.busy_until = now + constants::peer_timeout;
         if (!n.up || n.cut || real(0, 1) < 0.03)
             return;
         auto q = n.reader.question(nodes[0].revision);
-        double sent = now, age_of_answer = real(0.01, 0.3);
-        at(now + real(0.01, 0.25), [this, i, q, sent, age_of_answer] {
+        auto sent = now;
+        auto age_of_answer = between(0.01, 0.3);
+        at(now + between(0.01, 0.25), [this, i, q, sent, age_of_answer] {
             auto &n = nodes[i];
             if (!n.up || n.cut)
                 return;
             n.log->forget_upto(q.revision);
             auto a = n.log->answer(q);
             a.loaded = n.loaded;
-            a.read_age_s = now - n.fresh_at;
+            a.read_age = now - n.fresh_at;
             if (real(0, 1) < 0.03)
                 return; // the answer is lost
             at(now + age_of_answer, [this, i, q, a, sent] {
                 auto &n = nodes[i];
-                n.busy_until = 0;
+                n.busy_until = {};
                 for (auto &e : n.reader.take(q, a, sent)) {
                     if (!jobs.at(e.job).known)
                         ++by_name;
@@ -361,7 +372,7 @@
         });
     }
 
-    double known_until() const {
+    time_point known_until() const {
         std::vector<const cancel_reader *> readers;
         for (std::size_t i = 1; i < nodes.size(); ++i)
             readers.push_back(&nodes[i].reader);
@@ -371,13 +382,14 @@
     void work(const std::string &id, job &j) {
         if (!j.there)
             return;
-        if (now - j.lease_from > lease_s) {
+        if (now - j.lease_from > lease_duration) {
             j.there = false;
             return;
         }
         if (now >= j.next_report) {
-            j.next_report = now + real(0.75, 1.25) * heartbeat_interval_s;
-            if (now >= mute_until && membership::may_renew(now, known_until(), lease_s, cancel_s)) {
+            j.next_report = now + real(0.75, 1.25) * heartbeat_interval;
+            if (now >= mute_until &&
+                membership::may_renew(now, known_until(), lease_duration, cancel_deadline)) {
                 j.lease_from = now;
                 if (j.known) {
                     j.there = false;
@@ -386,16 +398,17 @@
             }
         }
         // Deleted where the kill can't be shown to have come.
-        if (j.known && now - j.known_at > constants::cancel_delete_share * cancel_s &&
+        if (j.known && now - j.known_at > constants::cancel_delete_share * cancel_deadline &&
             now >= cloud_down_until)
             j.there = false, j.killed = true;
-        if (j.announced_at >= 0 && j.there && now > j.announced_at + cancel_s)
-            broken.push_back(fmt::format("{:.1f}: {} still there, told at {:.1f}, {}", now, id,
-                                         j.announced_at, j.known ? "known" : "unknown"));
+        if (j.announced_at && j.there && now > *j.announced_at + cancel_deadline)
+            broken.push_back(fmt::format("{:.1f}: {} still there, told at {:.1f}, {}",
+                                         in_seconds(now), id, in_seconds(*j.announced_at),
+                                         j.known ? "known" : "unknown"));
     }
 
-    void run(double until) {
-        for (; now < until && broken.empty(); now += step_s) {
+    void run(time_point until) {
+        for (; now < until && broken.empty(); now += step) {
             while (!events.empty() && events.begin()->first <= now) {
                 auto f = std::move(events.begin()->second);
                 events.erase(events.begin());
@@ -415,9 +428,9 @@
         }
     }
 
-    void crash(std::size_t i, double for_s) {
+    void crash(std::size_t i, seconds length) {
         nodes[i].up = false;
-        nodes[i].back_at = now + for_s;
+        nodes[i].back_at = now + length;
     }
 };
 
@@ -429,12 +442,13 @@
 // for all and for longer than cancel_s. Cancelled tasks go in time, and nothing else does.
 TEST_P(cancel_worlds, the_gap_costs_only_what_was_cancelled) {
     cancel_world w(GetParam(), 40);
-    w.run(110);
-    w.refused_until = 124;
-    w.at(w.now + 2.0, [&] { w.outage_until = w.now + 63.5; });
+    w.run(at(110));
+    w.refused_until = at(124);
+    w.at(w.now + 2s, [&] { w.outage_until = w.now + seconds{63.5}; });
     for (int k = 0; k < 12; ++k)
-        w.at(w.now + w.real(0, 2.2), [&] { w.cancel(static_cast<std::size_t>(w.integer(1, 4))); });
-    w.run(250);
+        w.at(w.now + w.between(0, 2.2),
+             [&] { w.cancel(static_cast<std::size_t>(w.integer(1, 4))); });
+    w.run(at(250));
     EXPECT_TRUE(w.broken.empty()) << w.broken.front();
     EXPECT_GT(w.by_name, 0) << "no cancel had to travel between controllers";
     for (auto &[id, j] : w.jobs)
@@ -444,34 +458,34 @@
 // Anything at any time: refusals, outages, restarts, cuts, lost messages, workers out of reach.
 TEST_P(cancel_worlds, no_cancelled_task_outlives_its_time) {
     cancel_world w(GetParam() + 1000, 6);
-    w.at(100.5, [&] { w.cancel(2); });
-    for (double t = 101; t < 400; t += w.real(1, 12))
+    w.at(at(100.5), [&] { w.cancel(2); });
+    for (auto t = at(101); t < at(400); t += w.between(1, 12))
         w.at(t, [&] {
             auto other = static_cast<std::size_t>(w.integer(1, 4));
             switch (w.integer(0, 7)) {
             case 0:
-                w.refused_until = w.now + w.real(1, 120);
+                w.refused_until = w.now + w.between(1, 120);
                 break;
             case 1:
-                w.outage_until = w.now + w.real(1, 90);
+                w.outage_until = w.now + w.between(1, 90);
                 break;
             case 2:
-                w.crash(other, w.real(0.1, 8));
+                w.crash(other, w.between(0.1, 8));
                 break;
             case 3:
                 w.nodes[other].cut = true;
-                w.at(w.now + w.real(1, 120), [&w, other] { w.nodes[other].cut = false; });
+                w.at(w.now + w.between(1, 120), [&w, other] { w.nodes[other].cut = false; });
                 break;
             case 4:
-                w.mute_until = w.now + w.real(1, 40);
+                w.mute_until = w.now + w.between(1, 40);
                 break;
             case 5: // told, and gone with all it knew; then nobody can read
-                w.refused_until = w.now + 100;
-                for (double s = 0; s < 2; s += 0.1)
+                w.refused_until = w.now + 100s;
+                for (seconds s{}; s < 2s; s += seconds{0.1})
                     w.at(w.now + s, [&w, other] { w.cancel(other); });
-                w.at(w.now + 2.1, [&w, other] {
-                    w.crash(other, 0.3);
-                    w.outage_until = w.now + 90;
+                w.at(w.now + seconds{2.1}, [&w, other] {
+                    w.crash(other, seconds{0.3});
+                    w.outage_until = w.now + 90s;
                 });
                 break;
             default:
@@ -479,7 +493,7 @@
                     w.cancel(static_cast<std::size_t>(w.integer(0, 4)));
             }
         });
-    w.run(480);
+    w.run(at(480));
     EXPECT_TRUE(w.broken.empty()) << w.broken.front();
     EXPECT_GT(w.cancelled, 0);
 }
--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -37,7 +37,7 @@
     net::asio::io_context &io;
     std::map<std::string, kept> keys;
     std::vector<change> changes;
-    std::map<std::uint64_t, std::pair<double, double>> loans; // length, end; s
+    std::map<std::uint64_t, std::pair<seconds, time_point>> loans; // length, end
     std::uint64_t ledger = 100, loan_count = 0;
     bool outage = false;
     std::size_t ended_reads = 0; // of single jobs' ended records
@@ -58,7 +58,7 @@
     void set_outage(bool on) {
         if (outage && !on) // every lease has its full time again
             for (auto &[id, l] : loans)
-                l.second = net::now_s() + l.first;
+                l.second = net::steady_now() + l.first;
         outage = on;
     }
 
@@ -86,7 +86,7 @@
             return;
         std::vector<std::uint64_t> over;
         for (auto &[id, l] : loans)
-            if (net::now_s() > l.second)
+            if (net::steady_now() > l.second)
                 over.push_back(id);
         for (auto id : over)
             end_loan(id);
@@ -137,8 +137,8 @@
         if (path == "/commit")
             co_return commit(json::parse(r.body).as_object());
         if (path == "/leases") {
-            double s = json::parse(r.body).at("ttlMs").to_number<double>() / 1000;
-            loans[++loan_count] = {s, net::now_s() + s};
+            seconds s{json::parse(r.body).at("ttlMs").to_number<double>() / 1000};
+            loans[++loan_count] = {s, net::steady_now() + s};
             co_return say(200, {{"loan", loan_count}});
         }
         auto id = std::stoull(path.substr(8)); // /leases/{id}...
@@ -147,7 +147,7 @@
         if (r.method == "DELETE")
             end_loan(id);
         else
-            loans[id].second = net::now_s() + loans[id].first;
+            loans[id].second = net::steady_now() + loans[id].first;
         co_return say(200, {});
     }
 
@@ -179,8 +179,9 @@
 
     awaitable<net::response> watch(std::size_t node, std::map<std::string, std::string> q) {
         auto since = std::stoull(q["since"]);
-        double until = net::now_s() + std::stod(q.count("holdMs") ? q["holdMs"] : "0") / 1000;
-        if ((outage || refused[node]) && net::now_s() >= until)
+        seconds hold{std::stod(q.count("holdMs") ? q["holdMs"] : "0") / 1000};
+        auto until = net::steady_now() + hold;
+        if ((outage || refused[node]) && net::steady_now() >= until)
             co_return say(503, {{"error", "trouble"}});
         for (;;) {
             expire();
@@ -193,10 +194,10 @@
                             o["data"] = *c.data;
                         news.push_back(o);
                     }
-                if (!news.empty() || net::now_s() >= until)
+                if (!news.empty() || net::steady_now() >= until)
                     co_return say(200, {{"ledger", ledger}, {"news", news}});
             }
-            co_await net::sleep_s(0.02);
+            co_await net::sleep_for(20ms);
         }
     }
 };
@@ -245,10 +246,10 @@
     void close() {
         for (auto &d : state.doors)
             d->stop();
-        io.run_for(net::seconds(0.1));
+        io.run_for(100ms);
     }
 
-    void run(double s) { io.run_for(net::seconds(s)); }
+    void run(seconds length) { io.run_for(net::timer_ticks(length)); }
 
     net::reply call(std::size_t node, const std::string &method, const std::string &target,
                     const std::string &body) {
@@ -256,12 +257,12 @@
         net::reply out;
         bool done = false;
         auto ask = [&]() -> awaitable<void> { // named: a coroutine does not keep its lambda alive
-            out = co_await client.call(method, target, body, 6);
+            out = co_await client.call(method, target, body, 6s);
             done = true;
         };
         net::spawn(io, ask(), "user");
         while (!done)
-            io.run_one_for(net::seconds(0.1));
+            io.run_one_for(100ms);
         return out;
     }
     int submit(std::size_t node, const std::string &body) {
@@ -279,10 +280,10 @@
             return std::to_string(r.status);
         return "200 " + std::string(json::parse(r.body).at("stage").as_string());
     }
-    bool until(const std::function<bool()> &what, double limit_s = 30) {
-        double limit = net::now_s() + limit_s;
-        while (!what() && net::now_s() < limit)
-            run(0.1);
+    bool until(const std::function<bool()> &what, seconds time_limit = 30s) {
+        auto limit = net::steady_now() + time_limit;
+        while (!what() && net::steady_now() < limit)
+            run(100ms);
         return what();
     }
     bool ready() {
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -21,30 +21,30 @@
     auto leader = w.node, other = (w.node + 1) % 3;
     auto token = w.warrant;
     c.state.refused[leader] = true;
-    ASSERT_TRUE(c.until([&] { return c.cancel(other, "job-1") == "200 aborted"; }, 5));
+    ASSERT_TRUE(c.until([&] { return c.cancel(other, "job-1") == "200 aborted"; }, 5s));
     c.state.set_outage(true);
-    double told = net::now_s();
+    auto told = net::steady_now();
     ASSERT_TRUE(c.until(
         [&] {
             w.report();
             return !w.runs("job-1");
         },
-        15));
-    EXPECT_LT(net::now_s() - told, 10);
+        15s));
+    EXPECT_LT(net::steady_now() - told, 10s);
     // The service is out: no controller answers from old knowledge, and nobody steps down.
     for (std::size_t i = 0; i < 3; ++i)
         EXPECT_EQ(c.poll(i, "job-1"), "503");
-    double until = net::now_s() + 6;
-    while (net::now_s() < until) {
+    auto until = net::steady_now() + 6s;
+    while (net::steady_now() < until) {
         w.report();
-        c.run(0.3);
+        c.run(300ms);
     }
     EXPECT_EQ(w.node, leader);
     EXPECT_EQ(w.warrant, token);
     c.state.refused[leader] = false;
     c.state.set_outage(false);
     for (std::size_t i = 0; i < 3; ++i)
-        EXPECT_TRUE(c.until([&] { return c.poll(i, "job-1") == "200 aborted"; }, 10)) << i;
+        EXPECT_TRUE(c.until([&] { return c.poll(i, "job-1") == "200 aborted"; }, 10s)) << i;
 }
 
 // Every node gives the same answer, and never an older one.
@@ -79,7 +79,7 @@
 TEST(controllers, ask_once_about_a_job_that_nobody_submitted) {
     cluster c;
     ASSERT_TRUE(c.ready());
-    c.run(1); // the election is over
+    c.run(1s); // the election is over
     ASSERT_EQ(c.poll(0, "job-7"), "404");
     auto before = c.state.ended_reads;
     for (int k = 0; k < 5; ++k)
@@ -96,7 +96,7 @@
 // malformed all the same.
 TEST(controllers, before_the_machine_types_are_known) {
     cluster c(false);
-    c.run(1);
+    c.run(1s);
     for (std::size_t i = 0; i < 3; ++i) {
         EXPECT_EQ(c.submit(i, "{}"), 400);
         EXPECT_EQ(c.submit(i, submission("job-1")), 503);
--- a/tests/compatibility/make_samples.cpp
+++ b/tests/compatibility/make_samples.cpp
@@ -27,7 +27,7 @@
     spec.id = "job-000412";
     spec.job_class = "train";
     spec.team = "vision";
-    spec.priority = priority_class::high;
+    spec.rank = priority::high;
     spec.tasks = 16;
     spec.cpus = 8;
     spec.gpus = 1;
@@ -36,11 +36,11 @@
     spec.image_gb = 6.2;
     spec.types = {"g8", "g16"};
     spec.zone = "aqaba";
-    spec.same_zone = true;
+    spec.one_zone = true;
     spec.spot = true;
     spec.estimate_s = 240;
-    spec.checkpoint_interval_s = 30;
-    spec.checkpoint_duration_s = 4;
+    spec.checkpoint_s = 30;
+    spec.save_s = 4;
     spec.deadline_s = 900;
     return spec;
 }
@@ -51,7 +51,7 @@
     spec.job_class = "serve";
     spec.team = "vision";
     spec.shape = job_shape::service;
-    spec.priority = priority_class::critical;
+    spec.rank = priority::critical;
     spec.tasks = 9;
     spec.cpus = 2;
     spec.memory_gb = 13;
@@ -66,8 +66,8 @@
     keep_record("job_service", wire::encode_job_record({false, 1764668401.5, 0, service_spec()}));
     keep_record("job_cancelled",
                 wire::encode_job_record({true, 1764668400.25, 1764668460.75, array_spec()}));
-    keep_record("ended_done", wire::encode_ended({job_state::done, 16}));
-    keep_record("ended_cancelled", wire::encode_ended({job_state::cancelled, 3}));
+    keep_record("ended_done", wire::encode_ended({job_stage::done, 16}));
+    keep_record("ended_cancelled", wire::encode_ended({job_stage::cancelled, 3}));
     keep_record("placed", wire::encode_placed({{"job-000412", 0, (41ull << 20) + 1, "i-000231"},
                                                {"job-000412", 15, (41ull << 20) + 2, "i-000232"},
                                                {"job-000398", 8, (41ull << 20) + 3, "i-000231"}}));
@@ -89,7 +89,7 @@
     type.spot_price = 4.5;
     type.boot_s = 45;
     type.zones = {"aqaba", "amman"};
-    keep_record("types", wire::encode_machine_types({type}));
+    keep_record("types", wire::encode_types({type}));
 }
 
 // The fields are those that membership::member and control::controller fill in.
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,11 +1,13 @@
 // What the version in production writes and says is read here, and what is written for it can be
 // read there. tests/compatibility/README.md says how the samples were made.
+#include "test_time.hpp"
 #include "wire/codec.hpp"
 #include <fstream>
 #include <gtest/gtest.h>
 #include <sstream>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 
 namespace {
 
@@ -40,9 +42,9 @@
     }
     auto record = wire::parse_job_record(sample("records/job_cancelled.json"));
     EXPECT_TRUE(record.cancelled);
-    EXPECT_EQ(record.cancelled_at, 1764668460.75);
+    EXPECT_EQ(record.cancelled_at, test::wall_at(1764668460.75));
     EXPECT_EQ(record.spec.tasks, 16u);
-    EXPECT_EQ(record.spec.deadline_s, 900);
+    EXPECT_EQ(record.spec.deadline, 900s);
 }
 
 TEST(compatibility, shared_records_are_written_as_before) {
@@ -69,10 +71,10 @@
     auto record = wire::parse_ended(value);
     EXPECT_EQ(record.state, job_state::done);
     EXPECT_EQ(record.done, 16u);
-    EXPECT_EQ(record.at, 0);
+    EXPECT_EQ(record.at, std::nullopt);
     EXPECT_EQ(wire::encode_ended(record), value);
-    record.at = 12.5;
-    EXPECT_EQ(wire::parse_ended(wire::encode_ended(record)).at, 12.5);
+    record.at = test::wall_at(12.5);
+    EXPECT_EQ(wire::parse_ended(wire::encode_ended(record)).at, test::wall_at(12.5));
     EXPECT_TRUE(wire::encode_ended(record).starts_with(value.substr(0, value.size() - 1)));
     EXPECT_EQ(wire::parse_ended(sample("records/ended_cancelled.json")).state,
               job_state::cancelled);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -93,18 +93,18 @@
         net::client canceller(c.io, c.conf[1].api, 1), submitter(c.io, c.conf[2].api, 1);
         auto cancel = [&]() -> awaitable<void> {
             auto answer =
-                co_await canceller.call("POST", "/submissions/" + first + "/abort", "", 6);
+                co_await canceller.call("POST", "/submissions/" + first + "/abort", "", 6s);
             told = answer.ok();
         };
         auto submit = [&]() -> awaitable<void> {
-            co_await net::sleep_s(0.01 * round);
+            co_await net::sleep_for(round * 10ms);
             auto body = waiting_for(second, "[\"" + first + "\"]");
-            auto answer = co_await submitter.call("POST", "/submissions", body, 6);
+            auto answer = co_await submitter.call("POST", "/submissions", body, 6s);
             accepted = answer.status == 201;
         };
         net::spawn(c.io, cancel(), "cancel");
         net::spawn(c.io, submit(), "submit");
-        ASSERT_TRUE(c.until([&] { return told && accepted; }, 10));
+        ASSERT_TRUE(c.until([&] { return told && accepted; }, 10s));
         for (std::size_t node = 0; node < 3; ++node)
             EXPECT_EQ(c.poll(node, second), "200 aborted") << round << " at " << node;
     }
@@ -120,7 +120,7 @@
     ASSERT_TRUE(c.ready());
     for (std::size_t node = 0; node < 3; ++node) {
         auto id = fmt::format("job-1{}", node);
-        auto record = wire::job_record{false, 1, 0, small_job(id)};
+        auto record = wire::job_record{false, wall_at(1), {}, small_job(id)};
         record.spec.predecessors = {fmt::format("job-{}", node)};
         ++c.state.ledger;
         c.state.put("j/a/" + id, json::parse(wire::encode_job_record(record)), 0);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,17 +1,20 @@
 // Readiness and cancels passed on, as a pure function of what is known of the predecessors.
 #include "catalog/dependency_graph.hpp"
 #include "fairness/chain_order.hpp"
+#include "test_time.hpp"
 #include <algorithm>
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using catalog::dependency_graph;
 using catalog::standing;
+using test::at;
 
 namespace {
 
-const catalog::predecessor_end done{job_state::done, 10};
-const catalog::predecessor_end cancelled{job_state::cancelled, 10};
+const catalog::predecessor_end done{job_state::done, at(10)};
+const catalog::predecessor_end cancelled{job_state::cancelled, at(10)};
 
 // harvest, then tally and draft, then publish.
 dependency_graph diamond() {
@@ -34,12 +37,12 @@
     EXPECT_EQ(graph.of("tally"), standing::waiting);
     EXPECT_EQ(sorted(graph.note_end("harvest", done).ready),
               (std::vector<std::string>{"draft", "tally"}));
-    EXPECT_TRUE(graph.note_end("tally", {job_state::done, 20}).ready.empty());
+    EXPECT_TRUE(graph.note_end("tally", {job_state::done, at(20)}).ready.empty());
     EXPECT_EQ(graph.of("publish"), standing::waiting);
-    EXPECT_EQ(graph.note_end("draft", {job_state::done, 15}).ready,
+    EXPECT_EQ(graph.note_end("draft", {job_state::done, at(15)}).ready,
               std::vector<std::string>{"publish"});
     EXPECT_EQ(graph.of("publish"), standing::ready);
-    EXPECT_EQ(graph.find("publish")->ready_at, 20);
+    EXPECT_EQ(graph.find("publish")->ready_at, at(20));
 }
 
 TEST(dependency_graph, an_end_that_is_told_twice_counts_once) {
@@ -80,14 +83,14 @@
     std::vector<step> steps{
         [](auto &g) {
             g.add("b", {"a"});
-            g.note_end("a", {job_state::cancelled, 1}); // as a caller does that knows it
+            g.note_end("a", {job_state::cancelled, at(1)}); // as a caller does that knows it
         },
         [](auto &g) {
             g.add("c", {"b", "x"});
         },
         [](auto &g) { g.add("d", {"c"}); },
         [](auto &g) {
-            g.note_end("x", {job_state::done, 1});
+            g.note_end("x", {job_state::done, at(1)});
         },
     };
     std::vector<std::size_t> order{0, 1, 2, 3};
@@ -138,17 +141,17 @@
     auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
         fairness::chain_member m;
         m.priority = id == "publish" ? priority_class::high : priority_class::low;
-        m.duration_s = id == "tally" ? 30 : 10;
+        m.duration = id == "tally" ? 30s : 10s;
         if (id == "publish")
-            m.due = fairness::due_times{100, 150};
+            m.due = fairness::due_times{at(100), at(150)};
         return m;
     };
     auto from = fairness::inherit(graph, member);
-    EXPECT_EQ(from.at("tally").due->first, 90);
-    EXPECT_EQ(from.at("draft").due->last, 140);
+    EXPECT_EQ(from.at("tally").due->first, at(90));
+    EXPECT_EQ(from.at("draft").due->last, at(140));
     // By way of the tally, which takes longer than the draft.
-    EXPECT_EQ(from.at("harvest").due->first, 60);
-    EXPECT_EQ(from.at("harvest").due->last, 110);
+    EXPECT_EQ(from.at("harvest").due->first, at(60));
+    EXPECT_EQ(from.at("harvest").due->last, at(110));
     EXPECT_EQ(from.at("harvest").priority, priority_class::high);
     EXPECT_FALSE(from.count("publish"));
 }
@@ -158,7 +161,7 @@
     auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
         if (id == "publish")
             return {};
-        return fairness::chain_member{priority_class::low, {}, 10};
+        return fairness::chain_member{priority_class::low, {}, 10s};
     };
     EXPECT_EQ(fairness::inherit(graph, member).at("harvest").priority, priority_class::low);
     EXPECT_FALSE(fairness::inherit(graph, member).count("tally"));
--- a/tests/failure_ledger_test.cpp
+++ b/tests/failure_ledger_test.cpp
@@ -1,33 +1,36 @@
 // Whose fault a failed attempt is: the machine's or the job's.
 #include "constants.hpp"
+#include "test_time.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using names = std::set<std::string>;
+using test::at;
 
 namespace {
 
 bool fail(workers::failure_ledger &ledger, const std::string &job, const std::string &machine,
-          double now, bool job_runs = false) {
-    return ledger.attempt_failed({job, machine, 0, job_runs}, now);
+          time_point now, bool job_runs = false) {
+    return ledger.attempt_failed({job, machine, 0s, job_runs}, now);
 }
 
 } // namespace
 
 TEST(failure_ledger, a_machine_that_fails_a_working_job_is_faulty_at_once) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 10, true);
+    fail(ledger, "job-1", "i-1", at(10), true);
     EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
     EXPECT_TRUE(ledger.take_faulty().empty());
 }
 
 TEST(failure_ledger, a_machine_waits_on_probation_until_the_job_runs_elsewhere) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 10);
+    fail(ledger, "job-1", "i-1", at(10));
     EXPECT_TRUE(ledger.take_faulty().empty());
-    EXPECT_GT(ledger.probation_until("i-1"), 10);
+    EXPECT_GT(ledger.probation_until("i-1"), at(10));
     ledger.job_ran("job-1");
     EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
 }
@@ -36,30 +39,30 @@
 // of the jobs submitted with a mistake, 154 machines were given back so.
 TEST(failure_ledger, faulty_jobs_convict_no_machine) {
     workers::failure_ledger ledger;
-    double now = 0;
+    time_point now{};
     for (int round = 0; round < 20; ++round)
         for (auto *job : {"job-1", "job-2", "job-3", "job-4", "job-5"})
             for (auto *machine : {"i-1", "i-2", "i-3"})
-                fail(ledger, job, machine, now += 0.5);
+                fail(ledger, job, machine, now += seconds{0.5});
     EXPECT_TRUE(ledger.take_faulty().empty());
     for (auto *machine : {"i-1", "i-2", "i-3"})
-        EXPECT_EQ(ledger.probation_until(machine), 0) << machine;
+        EXPECT_EQ(ledger.probation_until(machine), at(0)) << machine;
     EXPECT_TRUE(ledger.is_suspect("job-1"));
 }
 
 TEST(failure_ledger, a_faulty_machine_is_told_among_faulty_jobs) {
     workers::failure_ledger ledger;
-    fail(ledger, "faulty-job", "i-1", 1);
-    fail(ledger, "faulty-job", "i-2", 2);
-    fail(ledger, "good-job", "i-1", 3);
+    fail(ledger, "faulty-job", "i-1", at(1));
+    fail(ledger, "faulty-job", "i-2", at(2));
+    fail(ledger, "good-job", "i-1", at(3));
     ledger.job_ran("good-job");
     EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
 }
 
 TEST(failure_ledger, a_job_that_met_two_faulty_machines_convicts_both_once_it_runs) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 1);
-    EXPECT_TRUE(fail(ledger, "job-1", "i-2", 2));
+    fail(ledger, "job-1", "i-1", at(1));
+    EXPECT_TRUE(fail(ledger, "job-1", "i-2", at(2)));
     EXPECT_TRUE(ledger.is_suspect("job-1"));
     ledger.job_ran("job-1");
     EXPECT_FALSE(ledger.is_suspect("job-1"));
@@ -68,11 +71,11 @@
 
 TEST(failure_ledger, a_machine_that_ran_something_since_is_not_faulty) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 1);
-    ledger.machine_ran("i-1", 0.5); // placed before the failure: proves nothing
-    EXPECT_GT(ledger.probation_until("i-1"), 1);
-    ledger.machine_ran("i-1", 2);
-    EXPECT_EQ(ledger.probation_until("i-1"), 0);
+    fail(ledger, "job-1", "i-1", at(1));
+    ledger.machine_ran("i-1", at(0.5)); // placed before the failure: proves nothing
+    EXPECT_GT(ledger.probation_until("i-1"), at(1));
+    ledger.machine_ran("i-1", at(2));
+    EXPECT_EQ(ledger.probation_until("i-1"), at(0));
     ledger.job_ran("job-1");
     EXPECT_TRUE(ledger.take_faulty().empty());
 }
@@ -81,53 +84,53 @@
     workers::failure_ledger ledger;
     for (std::size_t k = 0; k < constants::undecided_jobs; ++k) {
         EXPECT_TRUE(ledger.take_faulty().empty());
-        fail(ledger, "job-" + std::to_string(k), "i-1", static_cast<double>(k));
+        fail(ledger, "job-" + std::to_string(k), "i-1", at(static_cast<double>(k)));
     }
     EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
 }
 
 TEST(failure_ledger, a_suspect_job_is_retried_at_growing_intervals) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 0);
-    EXPECT_EQ(ledger.retry_at("job-1"), 0);
-    fail(ledger, "job-1", "i-2", 0);
+    fail(ledger, "job-1", "i-1", at(0));
+    EXPECT_EQ(ledger.retry_at("job-1"), at(0));
+    fail(ledger, "job-1", "i-2", at(0));
     auto first = ledger.retry_at("job-1");
-    EXPECT_EQ(first, constants::job_backoff_s);
-    fail(ledger, "job-1", "i-3", 1); // of the same wave
+    EXPECT_EQ(first, at(0) + constants::job_backoff);
+    fail(ledger, "job-1", "i-3", at(1)); // of the same wave
     EXPECT_EQ(ledger.retry_at("job-1"), first);
-    double now = first;
+    auto now = first;
     for (int k = 0; k < 20; ++k) {
         fail(ledger, "job-1", "i-4", now);
         EXPECT_GT(ledger.retry_at("job-1"), now);
-        EXPECT_LE(ledger.retry_at("job-1"), now + constants::job_backoff_max_s);
+        EXPECT_LE(ledger.retry_at("job-1"), now + constants::job_backoff_max);
         now = ledger.retry_at("job-1");
     }
     EXPECT_EQ(ledger.retry_at("job-1"), now);
     fail(ledger, "job-1", "i-4", now);
-    EXPECT_EQ(ledger.retry_at("job-1"), now + constants::job_backoff_max_s);
+    EXPECT_EQ(ledger.retry_at("job-1"), now + constants::job_backoff_max);
 }
 
 TEST(failure_ledger, what_failed_late_needs_a_longer_run_as_proof) {
     workers::failure_ledger ledger;
-    EXPECT_EQ(ledger.proof_s("job-1"), constants::proof_least_s);
-    ledger.attempt_failed({"job-1", "i-1", 8, false}, 10);
-    EXPECT_GT(ledger.proof_s("job-1"), 8 * constants::proof_runs);
+    EXPECT_EQ(ledger.proof_duration("job-1"), constants::proof_least);
+    ledger.attempt_failed({"job-1", "i-1", 8s, false}, at(10));
+    EXPECT_GT(ledger.proof_duration("job-1"), 8s * constants::proof_runs);
 }
 
 TEST(failure_ledger, suspects_survive_a_change_of_leader) {
     workers::failure_ledger ledger;
-    fail(ledger, "job-1", "i-1", 0);
-    fail(ledger, "job-1", "i-2", 0);
-    fail(ledger, "job-2", "i-3", 0);
+    fail(ledger, "job-1", "i-1", at(0));
+    fail(ledger, "job-1", "i-2", at(0));
+    fail(ledger, "job-2", "i-3", at(0));
     auto record = wire::encode_suspects(ledger.suspects());
     EXPECT_LE(record.size(), wire::suspects_bytes("") + wire::suspects_bytes("job-1"));
     workers::failure_ledger next;
     for (auto &job : wire::parse_suspects(record))
-        next.load_suspect(job, 5);
+        next.load_suspect(job, at(5));
     EXPECT_TRUE(next.is_suspect("job-1"));
     EXPECT_FALSE(next.is_suspect("job-2"));
-    EXPECT_FALSE(fail(next, "job-1", "i-1", 20));
-    EXPECT_EQ(next.probation_until("i-1"), 0);
+    EXPECT_FALSE(fail(next, "job-1", "i-1", at(20)));
+    EXPECT_EQ(next.probation_until("i-1"), at(0));
     EXPECT_THROW(wire::parse_suspects(R"({"jobs":[1]})"), wire::malformed_message);
     EXPECT_THROW(wire::parse_suspects(R"({})"), wire::malformed_message);
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -5,6 +5,8 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
+using test::at;
 
 namespace {
 
@@ -12,7 +14,7 @@
     wire::job_record r;
     r.spec = test::small_job("job-1");
     r.spec.tasks = tasks;
-    r.spec.estimate_s = 100;
+    r.spec.estimate = 100s;
     return r;
 }
 
@@ -22,12 +24,12 @@
 // requests for an offer, each later one as a single request.
 TEST(fleet, one_request_asks_for_what_is_sold_out) {
     control::scheduler core(test::small_settings(), test::small_types());
-    core.begin(0, 5, 0);
-    core.loaded(0);
-    core.on_job("job-1", array_of(1000), 7, 0);
+    core.begin(at(0), 5, wall_clock{});
+    core.loaded(at(0));
+    core.on_job("job-1", array_of(1000), 7, at(0));
     std::map<std::string, int> asked; // times that an offer was asked for
     int at_first = 0, later = 0;
-    for (double now = 1; now < 200; now += 0.5) {
+    for (auto now = at(1); now < at(200); now += seconds{0.5}) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
             core.on_written(w, true, 100, now);
@@ -49,19 +51,19 @@
 // A machine is paid for while it boots, and what is rented for it waits: of two offers at the same
 // price per task the one that is up sooner is taken.
 TEST(fleet, boot_time_is_part_of_an_offers_price) {
-    for (double slow_boot : {30.0, 50.0}) {
+    for (seconds slow_boot : {30s, 50s}) {
         auto types = test::small_types();
-        types[0].boot_s = slow_boot; // one slot
-        types[1].boot_s = 40;        // four slots for four times the price
+        types[0].boot_time = slow_boot; // one slot
+        types[1].boot_time = 40s;       // four slots for four times the price
         control::scheduler core(test::small_settings(), types);
-        core.begin(0, 5, 0);
-        core.loaded(0);
-        core.on_job("job-1", array_of(1), 7, 0);
-        core.tick(3);
-        for (auto &w : core.take_writes(3))
-            core.on_written(w, true, 100, 3);
-        auto rentals = core.take_rentals(3);
+        core.begin(at(0), 5, wall_clock{});
+        core.loaded(at(0));
+        core.on_job("job-1", array_of(1), 7, at(0));
+        core.tick(at(3));
+        for (auto &w : core.take_writes(at(3)))
+            core.on_written(w, true, 100, at(3));
+        auto rentals = core.take_rentals(at(3));
         ASSERT_EQ(rentals.size(), 1u);
-        EXPECT_EQ(rentals[0].type, slow_boot < 40 ? "small" : "large");
+        EXPECT_EQ(rentals[0].type, slow_boot < 40s ? "small" : "large");
     }
 }
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -10,6 +10,7 @@
 #include <thread>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using net::awaitable;
 
 namespace {
@@ -39,12 +40,12 @@
         net::spawn(
             io,
             [&]() -> awaitable<void> {
-                out = co_await client.call("POST", "/x", "{}", 2, false, std::move(permitted));
+                out = co_await client.call("POST", "/x", "{}", 2s, false, std::move(permitted));
                 done = true;
             }(),
             "call");
         while (!done)
-            io.run_one_for(net::seconds(0.1));
+            io.run_one_for(100ms);
         return out;
     }
 };
@@ -91,7 +92,7 @@
         };
         net::spawn(s.io, send(), "commit");
         while (!done)
-            s.io.run_one_for(net::seconds(0.1));
+            s.io.run_one_for(100ms);
         return out.how;
     };
     EXPECT_EQ(commit(), store::txn_outcome::committed);
@@ -120,14 +121,14 @@
     u.result = [&](store::unit_outcome how, std::uint64_t) { told.push_back(how); };
     commits.submit(std::move(u));
     net::spawn(io, commits.run(), "commits");
-    double limit = net::now_s() + 5;
-    while (told.empty() && net::now_s() < limit)
-        io.run_one_for(net::seconds(0.05));
+    auto limit = net::steady_now() + 5s;
+    while (told.empty() && net::steady_now() < limit)
+        io.run_one_for(50ms);
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(told[0], store::unit_outcome::lost);
     EXPECT_EQ(state.commits, 0u);
     commits.stop();
-    io.run_for(net::seconds(0.1));
+    io.run_for(100ms);
 }
 
 // Between the decision to take the leader key and the transaction its votes ran out: the key stays
@@ -142,18 +143,17 @@
     std::size_t commits_after = 1;
     state.stand_still = [&] {
         if (stood_still++ == 0)
-            std::this_thread::sleep_for(
-                std::chrono::duration<double>(constants::candidacy_s + 0.2));
+            std::this_thread::sleep_for(constants::candidacy + 200ms);
         else
             commits_after = state.commits;
     };
     net::spawn(io, member.run(), "membership");
-    double limit = net::now_s() + 10;
-    while (!member.leading() && net::now_s() < limit)
-        io.run_one_for(net::seconds(0.05));
+    auto limit = net::steady_now() + 10s;
+    while (!member.leading() && net::steady_now() < limit)
+        io.run_one_for(50ms);
     EXPECT_TRUE(member.leading());
     EXPECT_GE(stood_still, 2);
     EXPECT_EQ(commits_after, 0u) << "the first candidacy's transaction was sent";
     member.stop();
-    io.run_for(net::seconds(0.2));
+    io.run_for(200ms);
 }
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -5,7 +5,9 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using catalog::standing;
+using test::wall_at;
 
 namespace {
 
@@ -17,14 +19,16 @@
 
     void put_job(const std::string &id, std::vector<std::string> predecessors,
                  bool cancelled = false) {
-        wire::job_record r{cancelled, 1, cancelled ? 2.0 : 0.0, test::small_job(id)};
+        wire::job_record r{cancelled, wall_at(1), {}, test::small_job(id)};
+        if (cancelled)
+            r.cancelled_at = wall_at(2);
         r.spec.predecessors = std::move(predecessors);
         state.apply({}, {{"j/a/" + id, wire::encode_job_record(r), 0}});
     }
     void put_end(const std::string &id, job_state ended_as) {
-        state.apply({}, {{"j/e/" + id, wire::encode_ended({ended_as, 0, 5}), 0}});
+        state.apply({}, {{"j/e/" + id, wire::encode_ended({ended_as, 0, wall_at(5)}), 0}});
     }
-    void run(double s) { io.run_for(net::seconds(s)); }
+    void run(seconds length) { io.run_for(net::timer_ticks(length)); }
     bool resolve(const std::string &id) {
         bool done = false, ok = false;
         auto ask = [&]() -> net::awaitable<void> {
@@ -33,17 +37,17 @@
         };
         net::spawn(io, ask(), "resolve");
         for (int i = 0; i < 100 && !done; ++i)
-            run(0.01);
+            run(10ms);
         return done && ok;
     }
     void load() {
         net::spawn(io, cache.run_watch(), "watch");
         for (int i = 0; i < 100 && !cache.loaded(); ++i)
-            run(0.01);
+            run(10ms);
     }
     ~caching() {
         cache.stop();
-        run(0.2);
+        run(200ms);
     }
 };
 
--- a/tests/key_value_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -2,6 +2,7 @@
 // without an answer and carry it out at once, later or never, refuse, or stand still.
 #pragma once
 #include "store/key_value_client.hpp"
+#include "test_time.hpp"
 #include <deque>
 #include <functional>
 #include <map>
@@ -47,7 +48,7 @@
     net::awaitable<store::txn_result> commit(std::vector<txn_condition> when,
                                              std::vector<txn_op> ops, store::request_priority,
                                              net::permission permitted) override {
-        co_await net::sleep_s(0.001);
+        co_await net::sleep_for(1ms);
         if (stand_still)
             stand_still();
         if (permitted && !permitted())
@@ -76,7 +77,7 @@
     }
 
     net::awaitable<std::optional<item>> get(std::string key, store::request_priority) override {
-        co_await net::sleep_s(0.001);
+        co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
         item i;
@@ -91,7 +92,7 @@
 
     net::awaitable<std::optional<wire::range_answer>> list(std::string prefix,
                                                            store::request_priority) override {
-        co_await net::sleep_s(0.001);
+        co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
         wire::range_answer a;
@@ -105,7 +106,7 @@
     net::awaitable<std::optional<wire::range_answer>>
     watch(std::string, std::uint64_t since, int, store::request_priority, bool &gone) override {
         gone = false;
-        co_await net::sleep_s(0.02);
+        co_await net::sleep_for(20ms);
         if (outage)
             co_return std::nullopt;
         wire::range_answer a;
@@ -113,8 +114,8 @@
         co_return a;
     }
 
-    net::awaitable<std::optional<std::uint64_t>> new_lease(double) override {
-        co_await net::sleep_s(0.001);
+    net::awaitable<std::optional<std::uint64_t>> new_lease(seconds) override {
+        co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
         leases[++lease_count] = true;
@@ -122,14 +123,14 @@
     }
 
     net::awaitable<renewal> renew(std::uint64_t lease) override {
-        co_await net::sleep_s(0.001);
+        co_await net::sleep_for(1ms);
         if (outage)
             co_return renewal::unsure;
         co_return leases[lease] ? renewal::ok : renewal::ended;
     }
 
     net::awaitable<void> end_lease(std::uint64_t lease) override {
-        co_await net::sleep_s(0.001);
+        co_await net::sleep_for(1ms);
         expire(lease);
     }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -10,7 +10,10 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using store::unit_outcome;
+using test::at;
+using test::wall_at;
 namespace c = constants;
 
 namespace {
@@ -41,9 +44,9 @@
         commits.submit(std::move(u));
     }
     bool until(std::size_t outcomes) {
-        double limit = net::now_s() + 10;
-        while (told.size() < outcomes && net::now_s() < limit)
-            io.run_one_for(net::seconds(0.05));
+        auto limit = net::steady_now() + 10s;
+        while (told.size() < outcomes && net::steady_now() < limit)
+            io.run_one_for(50ms);
         return told.size() >= outcomes;
     }
 };
@@ -86,17 +89,17 @@
 
 TEST(limits, the_smaller_rate_holds_for_good_once_it_shows) {
     store::write_rate rate(20, 15);
-    EXPECT_FALSE(rate.refused(0)) << "one refusal may have other reasons";
-    EXPECT_FALSE(rate.refused(30));
-    EXPECT_FALSE(rate.refused(31));
+    EXPECT_FALSE(rate.refused(at(0))) << "one refusal may have other reasons";
+    EXPECT_FALSE(rate.refused(at(30)));
+    EXPECT_FALSE(rate.refused(at(31)));
     EXPECT_EQ(rate.limit(), 20);
-    EXPECT_TRUE(rate.refused(32));
+    EXPECT_TRUE(rate.refused(at(32)));
     EXPECT_EQ(rate.limit(), 15);
-    EXPECT_FALSE(rate.refused(33));
+    EXPECT_FALSE(rate.refused(at(33)));
     EXPECT_EQ(rate.limit(), 15);
     store::write_rate steady(20, {});
     for (int i = 0; i < 50; ++i)
-        EXPECT_FALSE(steady.refused(i * 0.1));
+        EXPECT_FALSE(steady.refused(at(i * 0.1)));
     EXPECT_EQ(steady.limit(), 20);
 }
 
@@ -106,18 +109,18 @@
     spec.predecessors = std::vector<std::string>(100, "job-000002");
     spec.zone = std::string(200, 'z');
     spec.image = std::string(200, '\x01'); // six bytes each in JSON
-    auto record = catalog::cancelled_record({false, 5, 0, spec}, 9, 2048);
+    auto record = catalog::cancelled_record({false, wall_at(5), {}, spec}, wall_at(9), 2048);
     auto value = wire::encode_job_record(record);
     EXPECT_LE(value.size(), 2048u);
     auto read = wire::parse_job_record(value);
     EXPECT_TRUE(read.cancelled);
-    EXPECT_EQ(read.cancelled_at, 9);
+    EXPECT_EQ(read.cancelled_at, wall_at(9));
     EXPECT_EQ(read.spec.id, "job-1");
     EXPECT_EQ(read.spec.tasks, spec.tasks);
     // Where there is room, nothing is left out.
     auto small = test::small_job("job-1");
     small.types = {"large"};
-    auto whole = catalog::cancelled_record({false, 5, 0, small}, 9, 2048);
+    auto whole = catalog::cancelled_record({false, wall_at(5), {}, small}, wall_at(9), 2048);
     EXPECT_EQ(whole.spec.types, small.types);
 }
 
@@ -126,7 +129,7 @@
     auto conf = test::small_settings();
     conf.value_kb = 2;
     control::scheduler core(conf, test::small_types());
-    core.begin(0, 5, 0);
+    core.begin(at(0), 5, wall_clock{});
     std::vector<wire::done_part> parts;
     for (int n = 0; n < 100; ++n) {
         auto id = fmt::format("job-{}", n);
@@ -134,22 +137,22 @@
         r.spec = test::small_job(id);
         r.spec.tasks = 100;
         r.spec.cpus = 1;
-        core.load_job(id, r, static_cast<std::uint64_t>(n) + 1, 0);
+        core.load_job(id, r, static_cast<std::uint64_t>(n) + 1, at(0));
         wire::done_part part{id, 0, std::vector<bool>(100, false)};
         part.bits[7] = true;
         parts.push_back(part);
     }
     ASSERT_GT(wire::encode_done(parts).size(), record_limit(conf));
     core.load_done("4-1", parts);
-    core.loaded(0);
+    core.loaded(at(0));
     auto r = report_of("i-1", "large", "a");
     r.incarnation = r.sequence = 1;
     for (int n = 0; n < 100; ++n)
         r.tasks.push_back(
             {fmt::format("job-{}", n), 9, 77, task_state::exited, exit_cause::done, false});
-    core.on_heartbeat(r, 1);
+    core.on_heartbeat(r, at(1));
     std::set<std::string> told;
-    for (double now = 1; now < 20; now += 0.5) {
+    for (auto now = at(1); now < at(20); now += seconds{0.5}) {
         core.tick(now);
         for (auto &w : core.take_writes(now)) {
             for (auto &o : w.ops) {
@@ -174,7 +177,7 @@
     conf.value_kb = 2;
     conf.txn_ops = 4;
     control::scheduler core(conf, test::small_types());
-    core.begin(0, 5, 0);
+    core.begin(at(0), 5, wall_clock{});
     std::vector<wire::placed_task> placed;
     for (std::uint32_t n = 0; n < 200; ++n)
         placed.push_back({"job-1", n, (4ull << 20) + n, fmt::format("i-{}", n)});
@@ -183,14 +186,14 @@
         wire::job_record r;
         r.spec = test::small_job(id);
         r.spec.tasks = 300;
-        core.load_job(id, r, static_cast<std::uint64_t>(n), 0);
+        core.load_job(id, r, static_cast<std::uint64_t>(n), at(0));
     }
     ASSERT_GT(wire::encode_placed(placed).size(), record_limit(conf));
-    core.load_placed("4-1", placed, 0);
-    core.loaded(0);
+    core.load_placed("4-1", placed, at(0));
+    core.loaded(at(0));
     std::size_t writes = 0;
     std::uint64_t sequence = 0;
-    for (double now = 1; now < 60; now += 0.5) {
+    for (auto now = at(1); now < at(60); now += seconds{0.5}) {
         ++sequence;
         for (int n = 0; n < 300; ++n) {
             auto r = report_of(fmt::format("i-{}", n), "large", n % 2 ? "a" : "b");
@@ -220,24 +223,24 @@
     auto conf = test::small_settings();
     ASSERT_GE(conf.ops.fleet_limit, machines * 3 / 2);
     control::scheduler core(conf, test::small_types());
-    core.begin(0, 9, 0);
+    core.begin(at(0), 9, wall_clock{});
     wire::job_record job;
     job.spec = test::small_job("job-1");
     job.spec.tasks = 2 * machines;
-    core.load_job("job-1", job, 1, 0);
+    core.load_job("job-1", job, 1, at(0));
     std::vector<listed_machine> hosts;
     std::vector<wire::placed_task> placed;
     auto name = [](int n) { return fmt::format("i-{:06}", n); };
     for (int n = 0; n < machines; ++n) {
         placed.push_back({"job-1", static_cast<std::uint32_t>(n),
                           (5ull << 20) + static_cast<std::uint64_t>(n), name(n)});
-        hosts.push_back(
-            {name(n), "10.0.0.1:1", "small", n % 2 ? "a" : "b", true, machine_state::running, 100});
+        hosts.push_back({name(n), "10.0.0.1:1", "small", n % 2 ? "a" : "b", true,
+                         machine_state::running, 100s});
     }
-    core.load_placed("5-1", placed, 0);
-    core.loaded(0);
-    core.on_machine_list(hosts, 0.5, 0.5);
-    double now = 1;
+    core.load_placed("5-1", placed, at(0));
+    core.loaded(at(0));
+    core.on_machine_list(hosts, at(0.5), at(0.5));
+    auto now = at(1);
     std::size_t deleted = 0, started = 0;
     auto report = [&](int n, std::uint64_t sequence) {
         auto r = report_of(name(n), "small", n % 2 ? "a" : "b");
@@ -253,7 +256,7 @@
             started += o.kind == command_kind::start;
         core.answered(r.machine, control::scheduler::heartbeat_age::fresh, now);
     };
-    for (std::uint64_t sequence = 1; sequence <= 4; ++sequence, now += 3) {
+    for (std::uint64_t sequence = 1; sequence <= 4; ++sequence, now += 3s) {
         for (int n = 0; n < machines; ++n)
             report(n, sequence);
         core.tick(now);
@@ -266,7 +269,7 @@
     EXPECT_EQ(started, 0u) << "every machine is full";
     EXPECT_EQ(core.find_job("job-1")->running(), static_cast<std::uint32_t>(machines));
     int rented = 0;
-    for (int round = 0; round < 20; ++round, now += 2) {
+    for (int round = 0; round < 20; ++round, now += 2s) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
             core.on_written(w, true, 50, now);
@@ -282,21 +285,21 @@
     auto conf = test::small_settings();
     conf.txn_ops = 4;
     control::scheduler core(conf, test::small_types());
-    core.begin(0, 5, 0);
-    core.loaded(0);
+    core.begin(at(0), 5, wall_clock{});
+    core.loaded(at(0));
     for (int n = 0; n < 60; ++n)
-        core.on_heartbeat(report_of(fmt::format("i-{}", n), "small", n % 2 ? "a" : "b"), 1);
+        core.on_heartbeat(report_of(fmt::format("i-{}", n), "small", n % 2 ? "a" : "b"), at(1));
     for (int n = 0; n < 20; ++n) {
         auto id = fmt::format("job-{}", n);
         wire::job_record r;
-        r.accepted_at = 1;
+        r.accepted_at = wall_at(1);
         r.spec = test::small_job(id);
         r.spec.tasks = 3;
-        core.on_job(id, r, static_cast<std::uint64_t>(n) + 1, 1);
+        core.on_job(id, r, static_cast<std::uint64_t>(n) + 1, at(1));
     }
-    core.tick(2);
+    core.tick(at(2));
     std::vector<control::durable_write> placements;
-    for (auto &w : core.take_writes(2))
+    for (auto &w : core.take_writes(at(2)))
         if (w.kind == control::write_kind::placed)
             placements.push_back(w);
     ASSERT_EQ(placements.size(), 1u);
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -6,6 +6,8 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
+using test::at;
 namespace c = constants;
 
 namespace {
@@ -16,8 +18,8 @@
     int machines;
 
     sweep(int machine_count, std::uint32_t tasks) : machines(machine_count) {
-        core.begin(0, 5, 0);
-        core.loaded(0);
+        core.begin(at(0), 5, wall_clock{});
+        core.loaded(at(0));
         for (int k = 0; k < machines; ++k)
             report(k, 1);
         wire::job_record r;
@@ -25,12 +27,13 @@
         r.spec.tasks = tasks;
         r.spec.cpus = 0.25;
         r.spec.memory_gb = 0.4;
-        r.spec.estimate_s = 4;
-        core.on_job("job-1", r, 7, 1);
+        r.spec.estimate = 4s;
+        core.on_job("job-1", r, 7, at(1));
     }
     void report(int k, std::uint64_t sequence) {
         auto name = fmt::format("i-{:03}", k);
-        core.on_heartbeat({name, "10.0.0.1:9000", "large", "a", false, 1, sequence, 5, {}, {}}, 1);
+        core.on_heartbeat({name, "10.0.0.1:9000", "large", "a", false, 1, sequence, 5, {}, {}},
+                          at(1));
     }
     std::size_t queued() const { return core.find_job("job-1")->queued.size(); }
     std::size_t placed() const { return core.find_job("job-1")->live.size(); }
@@ -42,7 +45,7 @@
 // heartbeats were answered too late and 659 tasks were killed by their lease.
 TEST(planning, short_tasks_do_not_fill_the_worker_queues) {
     sweep s(10, 5000);
-    for (double now = 2; now < 12; now += 0.2)
+    for (auto now = at(2); now < at(12); now += seconds{0.2})
         s.core.tick(now);
     EXPECT_EQ(s.placed(), 10u * 64) << "all that fits at once is placed";
     EXPECT_GT(s.queued(), 0u);
@@ -51,11 +54,11 @@
 
 TEST(planning, a_round_is_bounded_and_the_next_goes_on) {
     sweep s(60, 6000);
-    s.core.tick(2);
+    s.core.tick(at(2));
     EXPECT_LE(s.placed() + s.queued(), static_cast<std::size_t>(c::bids_per_round));
-    s.core.tick(2.1);
+    s.core.tick(at(2.1));
     EXPECT_GT(s.placed(), static_cast<std::size_t>(c::bids_per_round));
-    for (double now = 2.2; now < 4; now += 0.1)
+    for (auto now = at(2.2); now < at(4); now += seconds{0.1})
         s.core.tick(now);
     EXPECT_EQ(s.placed(), 60u * 64);
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -8,6 +8,7 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 using fate = test::state_stand_in::fate;
 using store::unit_outcome;
 
@@ -37,10 +38,10 @@
         commits.submit(std::move(u));
     }
     // Runs until so many outcomes were told.
-    bool until(std::size_t outcomes, double limit_s = 10) {
-        double limit = net::now_s() + limit_s;
-        while (told.size() < outcomes && net::now_s() < limit)
-            io.run_one_for(net::seconds(0.05));
+    bool until(std::size_t outcomes, seconds time_limit = 10s) {
+        auto limit = net::steady_now() + time_limit;
+        while (told.size() < outcomes && net::steady_now() < limit)
+            io.run_one_for(50ms);
         return told.size() >= outcomes;
     }
 };
@@ -84,7 +85,7 @@
     ASSERT_TRUE(c.until(1));
     c.state.next_commits = {fate::held, fate::held, fate::held};
     c.write("p/1", "[2]");
-    c.until(2, 0.2);
+    c.until(2, 200ms);
     c.commits.stop();
     c.state.apply({}, {{"leader", "{\"next\":1}", 0}}); // another leads
     c.state.release_held();
@@ -102,11 +103,11 @@
         store::unit u;
         u.when = {{"j/a/job-" + std::to_string(i % 40), 0}};
         u.ops = {{u.when[0].key, "{}", 0}};
-        u.give_up_at = net::now_s() + 0.3;
+        u.give_up_at = net::steady_now() + 300ms;
         u.result = [&](unit_outcome how, std::uint64_t) { c.told.push_back(how); };
         c.commits.submit(std::move(u));
     }
-    ASSERT_TRUE(c.until(200, 5));
+    ASSERT_TRUE(c.until(200, 5s));
     EXPECT_EQ(std::count(c.told.begin(), c.told.end(), unit_outcome::lost), 200);
     c.state.outage = false;
     auto before = c.state.commits;
@@ -149,10 +150,10 @@
         member.records = [] { return membership::member::records_view{}; };
         net::spawn(io, member.run(), "membership");
     }
-    bool until(const std::function<bool()> &what, double limit_s = 10) {
-        double limit = net::now_s() + limit_s;
-        while (!what() && net::now_s() < limit)
-            io.run_one_for(net::seconds(0.05));
+    bool until(const std::function<bool()> &what, seconds time_limit = 10s) {
+        auto limit = net::steady_now() + time_limit;
+        while (!what() && net::steady_now() < limit)
+            io.run_one_for(50ms);
         return what();
     }
 };
@@ -166,11 +167,11 @@
     m.state.next_commits = {fate::held};
     m.member.want_raise();
     ASSERT_TRUE(m.until([&] { return m.state.commits >= 2; }));
-    m.until([] { return false; }, 0.3); // the raise's own read finds nothing new
+    m.until([] { return false; }, 300ms); // the raise's own read finds nothing new
     EXPECT_EQ(m.member.token(), first);
     m.state.release_held();
     m.member.want_check(); // as the committer does when the fence fails
-    ASSERT_TRUE(m.until([&] { return m.member.token() > first; }, 3));
+    ASSERT_TRUE(m.until([&] { return m.member.token() > first; }, 3s));
     EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
     EXPECT_EQ(m.told, m.member.token());
     EXPECT_TRUE(m.member.leading());
@@ -182,7 +183,7 @@
     m.state.leases[99] = true;
     m.state.apply({}, {{"leader", R"({"node":"n1","incarnation":"x","raise":0})", 99}});
     m.member.want_check();
-    EXPECT_TRUE(m.until([&] { return m.deposed == 1; }, 3));
+    EXPECT_TRUE(m.until([&] { return m.deposed == 1; }, 3s));
     EXPECT_FALSE(m.member.leading());
 }
 
@@ -191,7 +192,7 @@
         membership_alone m;
         m.state.next_commits = {f};
         m.until([&] { return m.state.commits >= 1; });
-        m.until([] { return false; }, 0.3);
+        m.until([] { return false; }, 300ms);
         m.state.release_held(); // its lease has ended by then
         ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
         EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -12,23 +12,23 @@
     s.node = "n0";
     s.zone = "a";
     s.teams = {{"red", 8, 16, 0, 0}, {"blue", 0, 0, 0, 0}};
-    s.heartbeat_interval_s = 3;
-    s.lease_s = 20;
-    s.cancel_s = 40;
+    s.heartbeat_interval = 3s;
+    s.lease_duration = 20s;
+    s.cancel_deadline = 40s;
     s.state_rps = 100;
     s.state_write_rps = 25;
     s.value_kb = 8;
     s.txn_ops = 16;
     s.cloud_rps = 5;
-    s.list_lag_s = 8;
+    s.list_lag = 8s;
     s.max_connections = 1000;
     s.ops.spare_replicas = 0;
     return s;
 }
 
 std::vector<machine_type> small_types() {
-    return {{"small", 4, 0, 16, 40, 0.5, 1.0, 0.4, 20, {"a", "b"}},
-            {"large", 16, 0, 64, 40, 1.0, 4.0, 1.6, 30, {"a", "b"}}};
+    return {{"small", 4, 0, 16, 40, 0.5, 1.0, 0.4, 20s, {"a", "b"}},
+            {"large", 16, 0, 64, 40, 1.0, 4.0, 1.6, 30s, {"a", "b"}}};
 }
 
 job_spec small_job(const std::string &id) {
@@ -41,7 +41,7 @@
     s.memory_gb = 8;
     s.image = "img";
     s.image_gb = 1;
-    s.estimate_s = 30;
+    s.estimate = 30s;
     s.spot = true;
     return s;
 }
@@ -73,6 +73,9 @@
         auto i = f.find(key);
         return i == f.end() ? fallback : i->second.back();
     }
+    static seconds length(const fields &f, const char *key, const std::string &fallback) {
+        return seconds{std::stod(get(f, key, fallback))};
+    }
 
     void commands(const std::vector<command> &list) {
         for (auto &o : list) {
@@ -83,7 +86,7 @@
         }
     }
 
-    void decisions(double now) {
+    void decisions(time_point now) {
         core->tick(now);
         for (auto &w : core->take_writes(now)) {
             std::string line = "write";
@@ -128,7 +131,7 @@
         r.sequence = std::stoull(get(f, "seq", "1"));
         r.token = std::stoull(get(f, "token", "0"));
         if (f.count("notice"))
-            r.reclaim_notice_s = std::stod(get(f, "notice", "0"));
+            r.reclaim_notice = length(f, "notice", "0");
         if (auto i = f.find("task"); i != f.end())
             for (auto &t : i->second) {
                 std::istringstream in(t);
@@ -159,9 +162,10 @@
 
     void run(const std::string &line) {
         std::istringstream in(line);
-        double now = 0;
+        double second = 0;
         std::string verb, word;
-        in >> now >> verb;
+        in >> second >> verb;
+        auto now = at(second);
         std::vector<std::string> names;
         fields f;
         while (in >> word) {
@@ -175,7 +179,7 @@
         if (verb == "lead") {
             // A new leader: all it has is what was written.
             core = std::make_unique<control::scheduler>(small_settings(), small_types());
-            core->begin(now, token, 0);
+            core->begin(now, token, wall_clock{});
             for (auto &[id, r] : records)
                 core->load_job(id, r, versions[id], now);
             for (auto &[key, value] : store)
@@ -189,12 +193,12 @@
             writes.clear();
         } else if (verb == "job") {
             wire::job_record r;
-            r.accepted_at = now;
+            r.accepted_at = wall_clock{}.to_wall(now);
             r.spec = small_job(names.at(0));
             r.spec.tasks = static_cast<std::uint32_t>(std::stoul(get(f, "tasks", "1")));
             r.spec.cpus = std::stod(get(f, "cpus", "4"));
             r.spec.team = get(f, "team", "blue");
-            r.spec.estimate_s = std::stod(get(f, "estimate", "30"));
+            r.spec.estimate = length(f, "estimate", "30");
             r.spec.spread = get(f, "spread", "no") == "yes";
             r.spec.spot = get(f, "spot", "yes") == "yes";
             r.spec.same_zone = get(f, "one_zone", "no") == "yes";
@@ -207,18 +211,18 @@
                 {"normal", priority_class::normal},
                 {"low", priority_class::low}};
             r.spec.priority = ranks.at(get(f, "rank", "normal"));
-            r.spec.checkpoint_interval_s = std::stod(get(f, "checkpoint", "0"));
-            r.spec.checkpoint_duration_s = std::stod(get(f, "save", "0"));
+            r.spec.checkpoint_interval = length(f, "checkpoint", "0");
+            r.spec.checkpoint_duration = length(f, "save", "0");
             if (get(f, "shape", "array") == "service") {
                 r.spec.shape = job_shape::service;
                 r.spec.priority = priority_class::critical;
                 r.spec.spot = false;
-                r.spec.estimate_s = 0;
+                r.spec.estimate = seconds{};
             }
             if (f.count("needs"))
                 r.spec.predecessors = f["needs"];
             if (f.count("deadline"))
-                r.spec.deadline_s = std::stod(get(f, "deadline", "0"));
+                r.spec.deadline = length(f, "deadline", "0");
             records[names.at(0)] = r;
             versions[names.at(0)] = ++revision;
             core->on_job(names.at(0), r, revision, now);
@@ -239,7 +243,7 @@
             // Another controller's word, before the job's record tells of it.
             records.at(names.at(0)).cancelled = true;
             versions[names.at(0)] = ++revision;
-            core->on_cancel({names.at(0), revision, 0}, now);
+            core->on_cancel({names.at(0), revision, std::nullopt}, now);
         } else if (verb == "command") {
             commands(core->direct_commands_for(names.at(0), now));
         } else if (verb == "command-answered") {
@@ -291,7 +295,7 @@
             std::vector<listed_machine> hosts;
             for (auto &n : names)
                 hosts.push_back({n, "10.0.0.1:9000", get(f, "type", "small"), get(f, "zone", "a"),
-                                 false, machine_state::running, 10});
+                                 false, machine_state::running, 10s});
             core->on_machine_list(hosts, now, now);
         } else if (verb != "tick") {
             throw std::runtime_error("unknown verb " + verb);
@@ -303,14 +307,14 @@
     std::map<std::string, std::string> store;
     // Whether the ended records of predecessors can be read.
     bool ends_known = true;
-    void tell_ends(double now) {
+    void tell_ends(time_point now) {
         for (auto &id : core->unresolved_predecessors())
             if (auto i = store.find("j/e/" + id); ends_known && i != store.end()) {
                 auto end = wire::parse_ended(i->second);
                 core->on_predecessor_end(id, {end.state, end.at}, now);
             }
     }
-    void load(const std::string &key, const std::string &value, double now) {
+    void load(const std::string &key, const std::string &value, time_point now) {
         if (key.rfind("d/", 0) == 0)
             core->load_done(key.substr(2), wire::parse_done(value));
         else if (key.rfind("p/", 0) == 0)
--- a/tests/trace_runner.hpp
+++ b/tests/trace_runner.hpp
@@ -1,6 +1,7 @@
 // Replays a kept trace: commands with a time, and after each the scheduler's decisions.
 #pragma once
 #include "control/scheduler.hpp"
+#include "test_time.hpp"
 #include <deque>
 #include <string>
 #include <vector>
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -13,7 +13,10 @@
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 namespace c = spindlecroft::constants;
+using test::at;
+using test::in_seconds;
 
 // --- wire ---
 
@@ -30,11 +33,11 @@
 TEST(wire, submission_survives_the_record) {
     auto s = wire::parse_submission(good_job);
     EXPECT_EQ(s.priority, priority_class::high);
-    EXPECT_FALSE(s.deadline_s);
+    EXPECT_FALSE(s.deadline);
     EXPECT_TRUE(s.spread);
     wire::job_record r;
     r.cancelled = true;
-    r.accepted_at = 12.5;
+    r.accepted_at = test::wall_at(12.5);
     r.spec = s;
     auto back = wire::parse_job_record(wire::encode_job_record(r));
     EXPECT_TRUE(back.cancelled);
@@ -121,7 +124,7 @@
     EXPECT_EQ(r.tasks[0].index, 12u);
     EXPECT_EQ(r.tasks[0].cause, exit_cause::stopped);
     EXPECT_TRUE(r.tasks[0].checkpointed);
-    EXPECT_DOUBLE_EQ(*r.reclaim_notice_s, 5.5);
+    EXPECT_DOUBLE_EQ(r.reclaim_notice->count(), 5.5);
     EXPECT_TRUE(r.newer_than(1, 99));
     EXPECT_FALSE(r.newer_than(2, 7));
 }
@@ -229,27 +232,27 @@
 
 TEST(promises, a_restarted_voter_promises_nothing_at_first) {
     // It may have promised to a leader a moment before it ended and came back at once.
-    membership::vote_ledger book(100.0, 3.0);
-    EXPECT_FALSE(book.grant("x", 3.0, 100.3));
-    EXPECT_FALSE(book.grant("x", 3.0, 102.9));
-    EXPECT_TRUE(book.grant("x", 3.0, 103.1));
-    EXPECT_FALSE(book.grant("y", 3.0, 104.0));
+    membership::vote_ledger book(at(100.0), 3s);
+    EXPECT_FALSE(book.grant("x", 3s, at(100.3)));
+    EXPECT_FALSE(book.grant("x", 3s, at(102.9)));
+    EXPECT_TRUE(book.grant("x", 3s, at(103.1)));
+    EXPECT_FALSE(book.grant("y", 3s, at(104.0)));
     book.release("y"); // a late release of somebody else's candidacy frees nothing
-    EXPECT_FALSE(book.grant("y", 3.0, 104.0));
-    EXPECT_TRUE(book.grant("y", 3.0, 106.2));
+    EXPECT_FALSE(book.grant("y", 3s, at(104.0)));
+    EXPECT_TRUE(book.grant("y", 3s, at(106.2)));
 }
 
 TEST(promises, either_entitlement_keeps_a_leader) {
     membership::authority a("n0", 3);
-    EXPECT_FALSE(a.valid(0));
-    a.vote_granted("n0", 0, 3);
-    EXPECT_FALSE(a.valid(1)) << "one of three is no majority";
-    a.vote_granted("n1", 0, 3);
-    EXPECT_TRUE(a.valid(1));
-    EXPECT_FALSE(a.valid(3)) << "counted shorter than it was given";
-    a.lease_renewed(2, 3);
-    EXPECT_TRUE(a.valid(4.5));
-    EXPECT_FALSE(a.valid(5));
+    EXPECT_FALSE(a.valid(at(0)));
+    a.vote_granted("n0", at(0), 3s);
+    EXPECT_FALSE(a.valid(at(1))) << "one of three is no majority";
+    a.vote_granted("n1", at(0), 3s);
+    EXPECT_TRUE(a.valid(at(1)));
+    EXPECT_FALSE(a.valid(at(3))) << "counted shorter than it was given";
+    a.lease_renewed(at(2), 3s);
+    EXPECT_TRUE(a.valid(at(4.5)));
+    EXPECT_FALSE(a.valid(at(5)));
 }
 
 // Three controllers, a key-value store with a lease, clocks that drift, lost and late messages,
@@ -263,42 +266,46 @@
         auto real = [&](double a, double b) {
             return boost::random::uniform_real_distribution<double>(a, b)(random);
         };
+        auto between = [&](double a, double b) { return seconds{real(a, b)}; };
         struct node {
             std::unique_ptr<vote_ledger> book;
             std::unique_ptr<authority> own;
-            double rate = 1, busy_until = 0;
+            double rate = 1;
+            time_point busy_until{};
             bool leader = false, cut = false, blind = false;
             std::string as;
         };
         std::vector<node> nodes(3);
         int stands = 0;
         std::string key; // candidacy that holds the leader key
-        double key_until = 0, outage_until = 0;
-        auto clock = [&](node &n, double t) { return t * n.rate; };
-        auto restart = [&](node &n, double t) {
+        time_point key_until{}, outage_until{};
+        auto clock = [&](node &n, time_point t) {
+            return time_point{t.time_since_epoch() * n.rate};
+        };
+        auto restart = [&](node &n, time_point t) {
             n.book = std::make_unique<vote_ledger>(
-                clock(n, t), c::vote_length_s * (1 + 2 * c::clock_drift) + c::authority_margin_s);
+                clock(n, t), c::vote_length * (1 + 2 * c::clock_drift) + c::authority_margin);
             n.own = std::make_unique<authority>("n", 3);
             n.leader = false;
         };
         for (auto &n : nodes) {
             n.rate = 1 + real(0, c::clock_drift);
-            restart(n, 0);
+            restart(n, at(0));
         }
         std::string last;
-        for (double t = 0; t < 400; t += 0.05) {
+        for (auto t = at(0); t < at(400); t += seconds{0.05}) {
             if (t >= outage_until && real(0, 1) < 0.001)
-                outage_until = t + real(1, 20), key_until = std::max(key_until, t) + 3;
+                outage_until = t + between(1, 20), key_until = std::max(key_until, t) + 3s;
             bool outage = t < outage_until;
             if (outage)
-                key_until = std::max(key_until, t + c::leader_lease_s);
+                key_until = std::max(key_until, t + c::leader_lease);
             else if (!key.empty() && t > key_until)
                 key.clear();
             int valid = 0;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
                 auto &n = nodes[i];
                 if (real(0, 1) < 0.0008)
-                    restart(n, t + real(0, 0.5));
+                    restart(n, t + between(0, 0.5));
                 if (real(0, 1) < 0.002)
                     n.cut = !n.cut;
                 if (real(0, 1) < 0.002)
@@ -306,15 +313,15 @@
                 bool state = !outage && !n.blind;
                 if (t < n.busy_until)
                     continue;
-                double mine = clock(n, t);
-                auto gather = [&](double length) {
+                auto mine = clock(n, t);
+                auto gather = [&](seconds length) {
                     if (n.book->grant(n.as, length, mine))
                         n.own->vote_granted(std::to_string(i), mine, length);
                     for (std::size_t k = 0; k < nodes.size(); ++k)
                         if (k != i && !n.cut && !nodes[k].cut && real(0, 1) < 0.9)
                             // arrives a little later than it was sent
                             if (nodes[k].book->grant(n.as, length,
-                                                     clock(nodes[k], t + real(0, 0.3))))
+                                                     clock(nodes[k], t + between(0, 0.3))))
                                 n.own->vote_granted(std::to_string(k), mine, length);
                 };
                 if (n.leader) {
@@ -324,25 +331,25 @@
                         continue;
                     }
                     if (real(0, 1) < 0.07) {
-                        gather(c::vote_length_s);
+                        gather(c::vote_length);
                         if (state && key == n.as) {
-                            key_until = t + c::leader_lease_s;
-                            n.own->lease_renewed(mine, c::leader_lease_s);
+                            key_until = t + c::leader_lease;
+                            n.own->lease_renewed(mine, c::leader_lease);
                         }
                     }
                 } else if (state && key.empty() && real(0, 1) < 0.05) {
                     n.as = std::to_string(i) + "#" + std::to_string(++stands);
                     n.own->clear();
-                    gather(c::candidacy_s);
-                    double later = t + real(0, 0.4);
+                    gather(c::candidacy);
+                    auto later = t + between(0, 0.4);
                     if (n.own->majority(clock(n, later))) {
                         key = n.as;
-                        key_until = t + c::leader_lease_s;
-                        n.own->lease_renewed(mine, c::leader_lease_s);
+                        key_until = t + c::leader_lease;
+                        n.own->lease_renewed(mine, c::leader_lease);
                         n.leader = true;
                         ++led;
                     }
-                    n.busy_until = t + 0.4;
+                    n.busy_until = t + seconds{0.4};
                 }
             }
             std::string who;
@@ -351,7 +358,7 @@
                     ++valid;
                     who = n.as;
                 }
-            ASSERT_LE(valid, 1) << "seed " << seed << " at " << t;
+            ASSERT_LE(valid, 1) << "seed " << seed << " at " << in_seconds(t);
             if (!who.empty() && who != last) {
                 if (!last.empty())
                     ++handovers;
@@ -367,7 +374,7 @@
 
 TEST(budget, leaves_a_reserve_to_the_more_urgent) {
     store::budget b(10);
-    double now = 0;
+    time_point now{};
     int rest = 0, accept = 0;
     while (b.take(1, store::request_priority::rest, now))
         ++rest;
@@ -376,7 +383,7 @@
     EXPECT_LT(rest, 8);
     EXPECT_GT(accept, 0);
     EXPECT_FALSE(b.take(1, store::request_priority::accept, now));
-    EXPECT_TRUE(b.take(1, store::request_priority::accept, now + 1));
+    EXPECT_TRUE(b.take(1, store::request_priority::accept, now + 1s));
 }
 
 // Single submissions came as fast as the budget refilled, and a transaction of eight changes, less
@@ -386,7 +393,7 @@
     int large = 0;
     double taken = 0;
     for (int ms = 0; ms < 60'000; ms += 20) {
-        double now = ms / 1000.0;
+        auto now = at(ms / 1000.0);
         if (ms % 80 == 0 && b.take(1, store::request_priority::accept, now))
             taken += 1;
         if (b.take(8, store::request_priority::placement, now)) {
@@ -402,18 +409,18 @@
 // rented meanwhile.
 TEST(budget, the_more_urgent_do_not_pass_who_waited_long) {
     store::write_line line;
-    auto rental_request = line.enter(10.0), submission = line.enter(10.2);
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, 10.3));
-    EXPECT_FALSE(line.may_go(submission, store::request_priority::accept, 10.5));
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::cancel, 10.5))
+    auto rental_request = line.enter(at(10.0)), submission = line.enter(at(10.2));
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, at(10.3)));
+    EXPECT_FALSE(line.may_go(submission, store::request_priority::accept, at(10.5)));
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::cancel, at(10.5)))
         << "a cancel waits for none";
-    EXPECT_TRUE(line.may_go(rental_request, store::request_priority::placement, 10.5));
-    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, 10.3),
+    EXPECT_TRUE(line.may_go(rental_request, store::request_priority::placement, at(10.5)));
+    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, at(10.3)),
               store::request_priority::placement);
-    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, 10.5),
+    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, at(10.5)),
               store::request_priority::cancel);
     line.leave(rental_request);
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, 10.5));
+    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, at(10.5)));
 }
 
 TEST(group_commit, leaves_out_what_nobody_waits_for) {
@@ -450,21 +457,21 @@
     auto s = test::small_job("job-1");
     bidding::room whole{4, 0, 16}, full{0, 0, 0}, twice{8, 0, 32};
     // At half speed, with 0.5 GB/s for an image of 1 GB.
-    auto bid = [&](const bidding::room &free, const bidding::room &all, double work, bool image) {
-        return bidding::make_bid(0.5, 0.5, s, free, all, work, 0, 30, image, 0);
+    auto bid = [&](const bidding::room &free, const bidding::room &all, seconds work, bool image) {
+        return bidding::make_bid(0.5, 0.5, s, free, all, work, 0s, 30s, image, 0);
     };
-    EXPECT_DOUBLE_EQ(bid(whole, whole, 0, false).finish_s(), 1 / 0.5 + 30 / 0.5);
-    EXPECT_DOUBLE_EQ(bid(whole, whole, 0, true).fetch_s, 0);
-    EXPECT_DOUBLE_EQ(bid(full, whole, 40, false).queued_s, 40);
-    EXPECT_DOUBLE_EQ(bid(full, twice, 40, false).queued_s, 20);
+    EXPECT_DOUBLE_EQ(bid(whole, whole, 0s, false).finish_time().count(), 1 / 0.5 + 30 / 0.5);
+    EXPECT_DOUBLE_EQ(bid(whole, whole, 0s, true).fetch_time.count(), 0);
+    EXPECT_DOUBLE_EQ(bid(full, whole, 40s, false).queue_time.count(), 40);
+    EXPECT_DOUBLE_EQ(bid(full, twice, 40s, false).queue_time.count(), 20);
 }
 
 TEST(bids, estimates_learn_a_class) {
     bidding::estimates e;
     auto s = test::small_job("job-1");
     for (int k = 0; k < 60; ++k)
-        e.measured("batch", 30, 15);
-    EXPECT_NEAR(e.expected_s(s), 15, 1);
+        e.measured("batch", 30s, 15s);
+    EXPECT_NEAR(e.expected_run_time(s).count(), 15, 1);
 }
 
 TEST(fairness, limits_and_shares) {
@@ -489,10 +496,10 @@
 TEST(machines, keep_the_most_recent_images_that_fit) {
     workers::machine m;
     m.type.cache_gb = 10;
-    m.use_image("a", 4, 1);
-    m.use_image("b", 4, 2);
-    m.use_image("a", 4, 3);
-    m.use_image("c", 4, 4);
+    m.use_image("a", 4, at(1));
+    m.use_image("b", 4, at(2));
+    m.use_image("a", 4, at(3));
+    m.use_image("c", 4, at(4));
     EXPECT_TRUE(m.images.count("a"));
     EXPECT_FALSE(m.images.count("b"));
     EXPECT_TRUE(m.images.count("c"));
@@ -518,17 +525,18 @@
     using fairness::all_tasks;
     // Three jobs due in 20 s, of 40, 10 and 11 s of work, and one that can't be in time any more.
     std::vector<fairness::waiting_job> jobs = {
-        {{20}, 40, 5}, {{20}, 10, 5}, {{20}, 11, 5}, {{3}, 1, 5}};
+        {{20s}, 40s, 5s}, {{20s}, 10s, 5s}, {{20s}, 11s, 5s}, {{3s}, 1s, 5s}};
     EXPECT_EQ(fairness::serving_order(jobs, 2),
               (std::vector<fairness::turn>{
                   {1, all_tasks}, {2, all_tasks}, {0, all_tasks}, {3, all_tasks}}));
     // Late for its deadline, but not for the next thing that is aimed at.
-    EXPECT_EQ(fairness::serving_order({{{50}, 20, 5}, {{-5, 30}, 10, 5}, {{-5, -1}, 1, 5}}, 2),
-              (std::vector<fairness::turn>{{1, all_tasks}, {0, all_tasks}, {2, all_tasks}}));
+    EXPECT_EQ(
+        fairness::serving_order({{{50s}, 20s, 5s}, {{-5s, 30s}, 10s, 5s}, {{-5s, -1s}, 1s, 5s}}, 2),
+        (std::vector<fairness::turn>{{1, all_tasks}, {0, all_tasks}, {2, all_tasks}}));
     // One that never began begins first, with a single task; the oldest of the late has a share.
-    EXPECT_EQ(fairness::serving_order({{{50}, 20, 5},
-                                       {{-5}, 900, 5, c::aged_s + 1, true, 3},
-                                       {{70}, 90, 5, c::starved_s + 1}},
+    EXPECT_EQ(fairness::serving_order({{{50s}, 20s, 5s},
+                                       {{-5s}, 900s, 5s, c::aged_after + 1s, true, 3},
+                                       {{70s}, 90s, 5s, c::starved_after + 1s}},
                                       100),
               (std::vector<fairness::turn>{
                   {2, 1}, {1, 2}, {0, all_tasks}, {2, all_tasks}, {1, all_tasks}}));
@@ -544,7 +552,7 @@
         EXPECT_GE(p.commands, 100u);
     }
     EXPECT_GE(settings::plan_sockets(20).api, 10u) << "few sockets are shared, not all kept back";
-    net::server_limits limits{1000, 75, 5};
+    net::server_limits limits{1000, 75s, 5s};
     EXPECT_FALSE(net::server::crowded(850, limits));
     EXPECT_TRUE(net::server::crowded(851, limits));
 }
@@ -555,19 +563,22 @@
 // alone, some of them never begin (shown by taking the rule for starved jobs out).
 TEST(fairness, overload_starves_no_size) {
     struct job {
-        double arrived = 0, due = 0, begun_at = -1, done_at = -1;
+        time_point arrived, due;
+        std::optional<time_point> begun_at, done_at;
         int size = 0, left = 0;
     };
     boost::random::mt19937 random(7);
     boost::random::lognormal_distribution<double> sizes(3.0, 1.0);
-    constexpr int slots = 40, run_s = 15;
+    constexpr int slots = 40;
+    constexpr seconds run_time{15};
     std::vector<job> jobs;
-    std::vector<int> free_at(slots, 0);
+    std::vector<time_point> free_at(slots);
     double asked = 0;
-    for (int now = 0; now < 1800; ++now) {
-        while (now < 1200 && asked < 1.5 * slots * now / run_s) {
+    for (int second = 0; second < 1800; ++second) {
+        auto now = at(second);
+        while (second < 1200 && asked < 1.5 * slots * second / run_time.count()) {
             int n = std::clamp(static_cast<int>(sizes(random)), 1, 200);
-            jobs.push_back({double(now), now + 60.0, -1, -1, n, n});
+            jobs.push_back({now, now + 60s, {}, {}, n, n});
             asked += n;
         }
         std::vector<fairness::waiting_job> waiting;
@@ -576,10 +587,10 @@
             if (jobs[i].left > 0) {
                 auto &j = jobs[i];
                 waiting.push_back({{j.due - now},
-                                   double(j.left) * run_s,
-                                   run_s,
+                                   j.left * run_time,
+                                   run_time,
                                    now - j.arrived,
-                                   j.begun_at >= 0});
+                                   j.begun_at.has_value()});
                 which.push_back(i);
             }
         auto order = fairness::serving_order(waiting, slots);
@@ -591,11 +602,11 @@
                 continue;
             auto &j = jobs[which[next->job]];
             --next->most;
-            if (j.begun_at < 0)
+            if (!j.begun_at)
                 j.begun_at = now;
             if (--j.left == 0)
-                j.done_at = now + run_s;
-            f = now + run_s;
+                j.done_at = now + run_time;
+            f = now + run_time;
         }
     }
     std::vector<int> by_size;
@@ -604,11 +615,11 @@
     std::sort(by_size.begin(), by_size.end());
     int large = by_size[by_size.size() * 9 / 10], of_large = 0, large_done = 0;
     for (auto &j : jobs) {
-        ASSERT_GE(j.begun_at, 0) << j.size << " tasks, from " << j.arrived;
-        EXPECT_LE(j.begun_at - j.arrived, 240) << j.size << " tasks";
+        ASSERT_TRUE(j.begun_at) << j.size << " tasks, from " << in_seconds(j.arrived);
+        EXPECT_LE(*j.begun_at - j.arrived, 240s) << j.size << " tasks";
         if (j.size >= large) {
             ++of_large;
-            large_done += j.done_at >= 0;
+            large_done += j.done_at.has_value();
         }
     }
     EXPECT_GT(of_large, 10);
@@ -620,17 +631,17 @@
 TEST(nodes, on_its_own_it_gives_up_in_time) {
     membership::authority a("n0", 7);
     for (auto n : {"n0", "n1", "n2", "n3"})
-        a.vote_granted(n, 10, c::vote_length_s);
-    a.lease_renewed(10.5, c::leader_lease_s);
+        a.vote_granted(n, at(10), c::vote_length);
+    a.lease_renewed(at(10.5), c::leader_lease);
     // From here on nothing is heard; its own vote to itself is no majority.
-    a.vote_granted("n0", 12, c::vote_length_s);
-    EXPECT_TRUE(a.valid(12.9));
-    EXPECT_TRUE(a.valid(13.2)) << "by its lease alone";
-    EXPECT_FALSE(a.valid(13.5));
+    a.vote_granted("n0", at(12), c::vote_length);
+    EXPECT_TRUE(a.valid(at(12.9)));
+    EXPECT_TRUE(a.valid(at(13.2))) << "by its lease alone";
+    EXPECT_FALSE(a.valid(at(13.5)));
 
-    EXPECT_TRUE(membership::better_served_elsewhere(5, true, false))
+    EXPECT_TRUE(membership::better_served_elsewhere(5s, true, false))
         << "cut from the state service";
-    EXPECT_TRUE(membership::better_served_elsewhere(5, false, true)) << "cut from all but workers";
-    EXPECT_FALSE(membership::better_served_elsewhere(60, false, false)) << "an outage for all";
-    EXPECT_FALSE(membership::better_served_elsewhere(1, false, true)) << "refused by peers alone";
+    EXPECT_TRUE(membership::better_served_elsewhere(5s, false, true)) << "cut from all but workers";
+    EXPECT_FALSE(membership::better_served_elsewhere(60s, false, false)) << "an outage for all";
+    EXPECT_FALSE(membership::better_served_elsewhere(1s, false, true)) << "refused by peers alone";
 }
--- a/tests/upgrade/process_cluster.cpp
+++ b/tests/upgrade/process_cluster.cpp
@@ -45,17 +45,18 @@
         out << fmt::format("[[cluster.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\n", t.name,
                            t.cpus, t.cpus_max);
     out << fmt::format("[cluster.workers]\nreport_s = {}\nlease_s = {}\ncancel_s = {}\n",
-                       s.heartbeat_interval_s, s.lease_s, s.cancel_s);
+                       s.heartbeat_interval.count(), s.lease_duration.count(),
+                       s.cancel_deadline.count());
     out << fmt::format("[cluster.state]\nrps = {}\nwrite_rps = {}\nvalue_kb = {}\ntxn_ops = {}\n",
                        s.state_rps, s.state_write_rps, s.value_kb, s.txn_ops);
     out << "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0\n";
-    out << fmt::format("[cluster.cloud]\nrps = {}\nlist_lag_s = {}\n", s.cloud_rps, s.list_lag_s);
+    out << fmt::format("[cluster.cloud]\nrps = {}\nlist_lag_s = {}\n", s.cloud_rps,
+                       s.list_lag.count());
     out << "[cluster.machine_limits]\ncore_share = 0.5\nram_mb = 200.0\nmax_connections = 500\n";
 }
 
 void process_cluster::start(std::size_t node, version what) {
-    std::string program =
-        what == version::possibly_running ? SPINDLECROFT_PRESENT : SPINDLECROFT_PRODUCTION;
+    std::string program = what == version::present ? SPINDLECROFT_PRESENT : SPINDLECROFT_PRODUCTION;
     std::string config = "--config", path = (folder_ / (conf[node].node + ".toml")).string();
     std::string log = (folder_ / (conf[node].node + ".log")).string();
     std::array<char *, 4> arguments{program.data(), config.data(), path.data(), nullptr};
--- a/tests/upgrade/process_cluster.hpp
+++ b/tests/upgrade/process_cluster.hpp
@@ -8,7 +8,7 @@
 
 namespace spindlecroft::test {
 
-enum class version { production, possibly_running };
+enum class version { production, present };
 
 class process_cluster : public controllers {
   public:
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -67,12 +67,12 @@
 
     void step() {
         worker.report();
-        cluster.run(0.05);
+        cluster.run(50ms);
     }
 
-    bool until(const std::function<bool()> &what, double limit_s = 40) {
-        double limit = net::now_s() + limit_s;
-        while (!what() && net::now_s() < limit)
+    bool until(const std::function<bool()> &what, seconds time_limit = 40s) {
+        auto limit = net::steady_now() + time_limit;
+        while (!what() && net::steady_now() < limit)
             step();
         return what();
     }
@@ -120,7 +120,7 @@
     ASSERT_TRUE(d.cluster.ready());
     d.work();
     for (std::size_t node = 0; node < 3; ++node) {
-        d.cluster.replace(node, version::possibly_running);
+        d.cluster.replace(node, version::present);
         if (node == 0) // one dies before its turn, and comes back as it was
             d.cluster.replace(2, version::production);
         d.work();
@@ -140,8 +140,7 @@
 // Leadership passes from old to new, from new to old and back, with running tasks each time.
 TEST(upgrade, leadership_passes_in_both_directions) {
     day d("directions");
-    std::array<version, 3> runs{version::production, version::possibly_running,
-                                version::production};
+    std::array<version, 3> runs{version::production, version::present, version::production};
     for (std::size_t node = 0; node < 3; ++node)
         d.cluster.start(node, runs[node]);
     ASSERT_TRUE(d.cluster.ready());
@@ -152,14 +151,12 @@
         d.cluster.kill(former);
         ASSERT_TRUE(d.until([&] { return d.worker.node != former && d.worker.report(); }));
         auto next = d.worker.node;
-        old_to_new +=
-            runs[former] == version::production && runs[next] == version::possibly_running;
-        new_to_old +=
-            runs[former] == version::possibly_running && runs[next] == version::production;
+        old_to_new += runs[former] == version::production && runs[next] == version::present;
+        new_to_old += runs[former] == version::present && runs[next] == version::production;
         // Whoever comes back is of the other version every other time, so that both meet.
         if (change % 3 == 2)
-            runs[former] = runs[former] == version::possibly_running ? version::production
-                                                                     : version::possibly_running;
+            runs[former] =
+                runs[former] == version::present ? version::production : version::present;
         d.cluster.start(former, runs[former]);
         ASSERT_TRUE(d.cluster.ready());
     }
@@ -173,7 +170,7 @@
 TEST(upgrade, production_leaves_a_job_with_predecessors_alone) {
     day d("left_alone");
     wire::job_record record;
-    record.accepted_at = 1;
+    record.accepted_at = wall_at(1);
     record.spec = small_job("job-800");
     record.spec.cpus = 0.1;
     record.spec.predecessors = {"job-1"};
@@ -185,12 +182,12 @@
     ASSERT_TRUE(d.leader_found());
     ASSERT_EQ(d.submit(), "job-1");
     ASSERT_TRUE(d.until([&] { return d.worker.runs("job-1"); }));
-    double until = net::now_s() + 3;
-    d.until([&] { return net::now_s() > until; });
+    auto until = net::steady_now() + 3s;
+    d.until([&] { return net::steady_now() > until; });
     EXPECT_FALSE(d.worker.runs("job-800"));
     EXPECT_EQ(d.cluster.state.keys.count("j/a/job-800"), 1u);
     for (std::size_t node = 0; node < 3; ++node)
-        d.cluster.replace(node, version::possibly_running);
+        d.cluster.replace(node, version::present);
     ASSERT_TRUE(d.cluster.ready());
     ASSERT_TRUE(d.leader_found());
     EXPECT_EQ(d.cluster.poll(0, "job-800"), "200 pending");
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -15,6 +15,7 @@
 #include <queue>
 
 using namespace spindlecroft;
+using namespace std::chrono_literals;
 
 namespace {
 
@@ -22,17 +23,17 @@
     std::uint64_t attempt = 0;
     task_state state = task_state::fetching;
     exit_cause cause = exit_cause::none;
-    double until = 0;
+    time_point until{};
 };
 
 struct worker {
     std::string name, type, zone;
     bool spot = false, alive = true;
-    double up_at = 0, hang_until = 0;
-    double deaf_until = 0; // its heartbeats arrive, but nothing reaches it
-    double mute_until = 0; // it reaches no controller, but commands reach it
+    time_point up_at{}, hang_until{};
+    time_point deaf_until{}; // its heartbeats arrive, but nothing reaches it
+    time_point mute_until{}; // it reaches no controller, but commands reach it
     std::uint64_t incarnation = 1, sequence = 0, token = 0;
-    double lease_from = 0, next_report = 0;
+    time_point lease_from{}, next_report{};
     bool reporting = false;
     std::map<std::pair<std::string, std::uint32_t>, task_here> tasks;
     // Exited attempts of which a newer one is in `tasks`: held, and shown, until they are reaped.
@@ -43,7 +44,7 @@
 struct record {
     wire::job_record job;
     std::uint64_t version = 0;
-    double cancelled_at = -1;
+    std::optional<time_point> cancelled_at;
 };
 
 struct world {
@@ -52,9 +53,9 @@
     boost::random::mt19937 random;
     settings::settings conf = test::small_settings();
     std::vector<machine_type> types = test::small_types();
-    double now = 0;
+    time_point now{};
     struct event {
-        double at;
+        time_point at;
         std::uint64_t command;
         std::function<void()> what;
         bool operator<(const event &o) const {
@@ -69,12 +70,12 @@
     std::map<std::string, record> jobs;
     std::map<std::string, job_state> ended;
     std::map<std::string, std::pair<std::string, std::uint64_t>> kv; // value, version
-    double outage_until = 0;                                         // nobody is served
-    double blind_until = 0;                                          // the leader alone is refused
+    time_point outage_until{};                                       // nobody is served
+    time_point blind_until{};                                        // the leader alone is refused
     // the leader in office
     std::shared_ptr<control::scheduler> core;
     std::map<std::string, std::uint64_t> versions; // of its own keys, as it knows them
-    double known_until = 0;                        // every cancel before then is known to it
+    time_point known_until{};                      // every cancel before then is known to it
     std::deque<control::durable_write> writing;
     // the outside
     std::map<std::string, worker> workers;
@@ -85,18 +86,23 @@
     std::map<std::pair<std::string, std::uint32_t>, bool> completed;
     std::vector<std::string> broken;
     int starts = 0, leaders = 0, copies = 0, late_writes = 0, by_name = 0, at_end = 0;
-    std::map<std::string, double> waits_since; // with room and allowance there
-    std::map<std::string, int> vain_starts;    // of jobs that fail everywhere
+    std::map<std::string, time_point> waits_since; // with room and allowance there
+    std::map<std::string, int> vain_starts;        // of jobs that fail everywhere
     bool calm = false;
 
     double real(double a, double b) {
         return boost::random::uniform_real_distribution<double>(a, b)(random);
     }
+    seconds between(double a, double b) { return seconds{real(a, b)}; }
     int integer(int a, int b) { return boost::random::uniform_int_distribution<int>(a, b)(random); }
     bool chance(double p) { return !calm && real(0, 1) < p; }
-    void at(double t, std::function<void()> f) { events.push({t, order_count++, std::move(f)}); }
-    void breaks(const std::string &what) { broken.push_back(fmt::format("{:.2f}: {}", now, what)); }
-    double delay() { return chance(0.03) ? real(1, 60) : real(0.001, 0.2); }
+    void at(time_point t, std::function<void()> f) {
+        events.push({t, order_count++, std::move(f)});
+    }
+    void breaks(const std::string &what) {
+        broken.push_back(fmt::format("{:.2f}: {}", test::in_seconds(now), what));
+    }
+    seconds delay() { return chance(0.03) ? between(1, 60) : between(0.001, 0.2); }
 
     const job_spec *spec(const std::string &job) {
         auto i = jobs.find(job);
@@ -142,7 +148,7 @@
             return;
         for (auto &id : core->unresolved_predecessors())
             if (auto e = ended.find(id); e != ended.end())
-                core->on_predecessor_end(id, {e->second, 0}, now);
+                core->on_predecessor_end(id, {e->second, {}}, now);
     }
 
     // A healthy machine is not blamed for jobs that fail everywhere.
@@ -168,7 +174,7 @@
         auto &s = uploaded.at(job);
         auto key = std::make_pair(job, index);
         for (auto &[n, other] : workers)
-            if (other.alive && n != w.name && now - other.lease_from <= conf.lease_s)
+            if (other.alive && n != w.name && now - other.lease_from <= conf.lease_duration)
                 if (auto t = other.tasks.find(key);
                     t != other.tasks.end() && t->second.state != task_state::exited)
                     breaks(fmt::format("ran_twice {}/{} on {} and {}", job, index, w.name, n));
@@ -177,7 +183,7 @@
         double cpus = 0;
         int here = 0;
         for (auto &[n, other] : workers)
-            if (other.alive && now - other.lease_from <= conf.lease_s)
+            if (other.alive && now - other.lease_from <= conf.lease_duration)
                 for (auto &[k, t] : other.tasks)
                     if (t.state != task_state::exited) {
                         if (uploaded.at(k.first).team == s.team)
@@ -192,8 +198,8 @@
             breaks(fmt::format("wrong_place: {} of {} in one zone", here, job));
         if (w.spot && !s.spot)
             breaks("wrong_place: spot");
-        if (auto j = jobs.find(job); j != jobs.end() && j->second.cancelled_at >= 0 &&
-                                     now > j->second.cancelled_at + conf.cancel_s)
+        if (auto j = jobs.find(job); j != jobs.end() && j->second.cancelled_at &&
+                                     now > *j->second.cancelled_at + conf.cancel_deadline)
             breaks("ran_cancelled: start of " + job);
     }
 
@@ -236,9 +242,10 @@
                     check_start(w, o.job, o.index, o.attempt);
                     x.state = task_state::running;
                     x.until =
-                        now + (uploaded.at(o.job).shape == job_shape::service ? 1e9 : real(3, 25));
+                        now + (uploaded.at(o.job).shape == job_shape::service ? seconds{1e9}
+                                                                              : between(3, 25));
                     if ((w.faulty && !calm) || fails_everywhere(o.job)) {
-                        x.until = now + 0.5;
+                        x.until = now + seconds{0.5};
                         x.cause = exit_cause::error;
                     }
                 }
@@ -268,7 +275,7 @@
     void work(worker &w) {
         if (!w.alive || now < w.up_at || now < w.hang_until)
             return;
-        if (now - w.lease_from > conf.lease_s) {
+        if (now - w.lease_from > conf.lease_duration) {
             w.tasks.clear();
             w.older.clear();
             ++w.incarnation;
@@ -285,7 +292,7 @@
                     // heartbeat.
                     if (chance(0.05)) {
                         ++at_end;
-                        at(now + real(0, 2), [this, job = k.first] { cancel(job); });
+                        at(now + between(0, 2), [this, job = k.first] { cancel(job); });
                     }
                 }
                 w.next_report = std::min(w.next_report, now);
@@ -298,14 +305,14 @@
         w.reporting = true;
         auto name = w.name;
         auto r = message(w);
-        double sent = now;
+        auto sent = now;
         auto incarnation = w.incarnation;
-        at(now + 4,
+        at(now + 4s,
            [this, name, incarnation, sent] { finish(name, incarnation, sent, {}, 0, false); });
         // A copy of the heartbeat comes once more, up to three leases later and perhaps to another
         // leader; the answer to it reaches nobody.
         if (chance(0.04))
-            at(now + real(2, 60), [this, name, r] {
+            at(now + between(2, 60), [this, name, r] {
                 auto leader = core;
                 if (!leader)
                     return;
@@ -320,9 +327,9 @@
             });
         if (chance(0.02) || now < w.mute_until)
             return;
-        double arrives = now + delay();
+        auto arrives = now + delay();
         at(arrives, [this, name, incarnation, sent, r] {
-            if (!core || now > sent + 30)
+            if (!core || now > sent + 30s)
                 return;
             auto leader = core;
             auto age = leader->on_heartbeat(r, now);
@@ -336,33 +343,33 @@
             leader->answered(name, age, now);
             if (chance(0.02) || now < workers.at(name).deaf_until)
                 return;
-            double back = now + delay();
-            if (back < sent + 4)
+            auto back = now + delay();
+            if (back < sent + 4s)
                 at(back, [this, name, incarnation, sent, commands, token] {
                     finish(name, incarnation, sent, commands, token, true);
                 });
         });
     }
 
-    void finish(const std::string &name, std::uint64_t incarnation, double sent,
+    void finish(const std::string &name, std::uint64_t incarnation, time_point sent,
                 const std::vector<command> &commands, std::uint64_t token, bool answered) {
         auto i = workers.find(name);
         if (i == workers.end() || !i->second.alive)
             return;
         auto &w = i->second;
-        if (!w.reporting || w.incarnation != incarnation || sent < w.next_report - 3.9)
+        if (!w.reporting || w.incarnation != incarnation || sent < w.next_report - seconds{3.9})
             return;
         if (now < w.hang_until)
             return;
         w.reporting = false;
-        w.next_report = now + real(2.2, 3.7);
+        w.next_report = now + between(2.2, 3.7);
         if (!answered || token < w.token)
             return;
         w.token = token;
         w.lease_from = std::max(w.lease_from, sent);
         execute(w, commands);
         if (!commands.empty())
-            w.next_report = now + 0.5;
+            w.next_report = now + seconds{0.5};
     }
 
     // --- the leader's surroundings ---
@@ -380,7 +387,7 @@
             starts_in = starts_in || o.kind == command_kind::start;
         auto token = leader->token();
         auto answered = std::make_shared<bool>(false);
-        at(now + 2.5, [this, leader, name, token, incarnation, answered, starts_in] {
+        at(now + seconds{2.5}, [this, leader, name, token, incarnation, answered, starts_in] {
             if (!*answered && starts_in && leader == core)
                 leader->command_unresolved(name, token, incarnation);
             *answered = true;
@@ -394,7 +401,8 @@
             if (now < w.deaf_until)
                 return;
             if (now < w.hang_until) {
-                at(w.hang_until + 0.01, *arrive); // a hanging machine takes it up afterwards
+                // A hanging machine takes it up afterwards.
+                at(w.hang_until + seconds{0.01}, *arrive);
                 return;
             }
             work(w);
@@ -414,11 +422,11 @@
                 leader->on_heartbeat(r, now, true);
             });
         };
-        at(now + (chance(0.15) ? real(1, 40) : delay()), *arrive);
+        at(now + (chance(0.15) ? between(1, 40) : delay()), *arrive);
     }
 
     bool may_renew() const {
-        return membership::may_renew(now, known_until, conf.lease_s, conf.cancel_s);
+        return membership::may_renew(now, known_until, conf.lease_duration, conf.cancel_deadline);
     }
 
     // What the committer does: the leader's own keys carry the version it knows, all else the
@@ -451,7 +459,7 @@
         if (leader != core)
             return;
         if (now < outage_until || now < blind_until) {
-            at(now + 0.25, [this, leader, w] { apply_write(leader, w); });
+            at(now + seconds{0.25}, [this, leader, w] { apply_write(leader, w); });
             return;
         }
         transaction t{w, {}, leader_token};
@@ -462,9 +470,9 @@
         // any time, also after newer transactions.
         if (chance(0.05)) {
             ++late_writes;
-            at(now + real(0.5, 40), [this, t] { apply(t); });
+            at(now + between(0.5, 40), [this, t] { apply(t); });
             if (chance(0.5)) {
-                at(now + 1.75, [this, leader, t] { settle(leader, t); });
+                at(now + seconds{1.75}, [this, leader, t] { settle(leader, t); });
                 return;
             }
         }
@@ -476,7 +484,7 @@
         if (leader != core)
             return;
         if (now < outage_until || now < blind_until) {
-            at(now + 0.25, [this, leader, t] { settle(leader, t); });
+            at(now + seconds{0.25}, [this, leader, t] { settle(leader, t); });
             return;
         }
         auto again = t;
@@ -493,7 +501,7 @@
         if (!chance(0.02) || ok)
             leader->on_written(t.what, ok, revision, now);
         else
-            at(now + 1, [this, leader, w = t.what] {
+            at(now + 1s, [this, leader, w = t.what] {
                 if (leader == core)
                     leader->on_written(w, false, revision, now);
             });
@@ -538,26 +546,26 @@
 
     void elect() {
         if (now < outage_until) { // nobody can be chosen
-            at(outage_until + 0.1, [this] {
+            at(outage_until + seconds{0.1}, [this] {
                 if (!core)
                     elect();
             });
             return;
         }
         ++leaders;
-        blind_until = 0;
+        blind_until = {};
         known_until = now;
         versions.clear();
         for (auto &[key, value] : kv)
             versions[key] = value.second;
         leader_token = ++revision;
         core = std::make_shared<control::scheduler>(conf, types);
-        core->begin(now, leader_token, 0);
+        core->begin(now, leader_token, wall_clock{});
         // What it can't read it passes over.
         old_leader = chance(0.3) && !dependent_may_run();
         ends_unread = chance(0.3);
         if (ends_unread)
-            at(now + real(1, 20), [this] { ends_unread = false; });
+            at(now + between(1, 20), [this] { ends_unread = false; });
         for (auto &[id, r] : jobs)
             if (!old_leader || r.job.spec.predecessors.empty())
                 core->load_job(id, r.job, r.version, now);
@@ -580,11 +588,13 @@
     void lead() {
         // Other controllers tell all they confirm within moments, unless nobody hears them.
         if (now >= blind_until || !unheard)
-            known_until = now - 1;
+            known_until = now - 1s;
         tell_predecessor_ends();
         core->tick(now);
         auto leader = core;
-        double t = now + real(0.01, 0.1) + (chance(0.02) ? 2 : 0);
+        auto t = now + between(0.01, 0.1);
+        if (chance(0.02))
+            t += 2s;
         for (auto &w : core->take_writes(now))
             at(t, [this, leader, w] { apply_write(leader, w); });
         for (auto &n : core->take_urgent())
@@ -598,7 +608,7 @@
                         w.type = r.type;
                         w.zone = r.zone;
                         w.spot = r.spot;
-                        w.up_at = now + real(1, 40);
+                        w.up_at = now + between(1, 40);
                         w.lease_from = w.up_at;
                         w.faulty = chance(0.05);
                         hires[r.request].push_back(w.name);
@@ -631,12 +641,12 @@
 
     void submit(int n) {
         wire::job_record r;
-        r.accepted_at = now;
+        r.accepted_at = wall_clock{}.to_wall(now);
         r.spec = test::small_job(fmt::format("job-{}", n));
         r.spec.team = chance(0.35) ? "red" : "blue";
         r.spec.tasks = static_cast<std::uint32_t>(integer(1, 6));
         r.spec.cpus = integer(1, 2) * 2;
-        r.spec.estimate_s = real(5, 30);
+        r.spec.estimate = between(5, 30);
         if (chance(0.25)) {
             r.spec.shape = job_shape::service;
             r.spec.priority = priority_class::critical;
@@ -648,7 +658,7 @@
         uploaded[r.spec.id] = r.spec;
         if (chance(0.4))
             chain(r, n);
-        jobs[r.spec.id] = {r, ++revision, -1};
+        jobs[r.spec.id] = {r, ++revision, {}};
         tell(r.spec.id);
     }
 
@@ -677,14 +687,17 @@
 
     void tell(std::string id) {
         auto leader = core;
-        at(now + real(0.01, 0.3), [this, leader, id] {
+        at(now + between(0.01, 0.3), [this, leader, id] {
             if (leader != core || !leader)
                 return;
             if (now < outage_until || now < blind_until) {
                 auto j = jobs.find(id);
                 if (j != jobs.end() && j->second.job.cancelled && !unheard) {
                     ++by_name;
-                    leader->on_cancel({id, j->second.version, j->second.cancelled_at}, now);
+                    cancel_notice notice{id, j->second.version, {}};
+                    if (auto told_at = j->second.cancelled_at)
+                        notice.at = wall_clock{}.to_wall(*told_at);
+                    leader->on_cancel(notice, now);
                 }
                 tell_after(id, std::max(outage_until, blind_until));
                 return;
@@ -695,8 +708,8 @@
         });
     }
 
-    void tell_after(const std::string &id, double t) {
-        at(t + 0.01, [this, id] { tell(id); });
+    void tell_after(const std::string &id, time_point t) {
+        at(t + seconds{0.01}, [this, id] { tell(id); });
     }
 
     void cancel(const std::string &id) {
@@ -726,9 +739,9 @@
                 for (auto &[k, t] : w.tasks)
                     if (t.state != task_state::exited)
                         if (auto j = jobs.find(k.first);
-                            j != jobs.end() && j->second.cancelled_at >= 0 &&
-                            now > j->second.cancelled_at + conf.cancel_s && now >= w.hang_until &&
-                            now - w.lease_from <= conf.lease_s)
+                            j != jobs.end() && j->second.cancelled_at &&
+                            now > *j->second.cancelled_at + conf.cancel_deadline &&
+                            now >= w.hang_until && now - w.lease_from <= conf.lease_duration)
                             breaks("ran_cancelled: " + k.first);
     }
 
@@ -762,7 +775,7 @@
             auto *team = conf.find_team(s.team);
             if (!waits || !room || (team->cpus_max > 0 && used + s.cpus > team->cpus_max))
                 waits_since.erase(id);
-            else if (waits_since.emplace(id, now).first->second < now - 90)
+            else if (waits_since.emplace(id, now).first->second < now - 90s)
                 breaks(fmt::format("waits: {}", describe(id)));
         }
     }
@@ -781,20 +794,22 @@
             out += fmt::format("; {} on {} phase {}", i, a.machine, static_cast<int>(a.phase));
         for (auto &[n, m] : core->machines())
             out += fmt::format("\n  {} {} {} up {} usable {} heard {:.0f} s ago", n, m.type.name,
-                               m.spot, m.up, m.usable(), now - m.heard_at);
+                               m.spot, m.up, m.usable(),
+                               (now - m.heard_at.value_or(test::at(-1))).count());
         return out;
     }
 
-    void run(double length) {
+    void run(seconds length) {
         elect();
         int n = 0;
-        double next_job = 0, next_list = 5;
-        for (now = 0; now < length; now += 0.05) {
-            if (!calm && now > length * 0.6) {
+        time_point next_job{}, next_list = test::at(5);
+        const time_point end{length}, calm_from{length * 0.6};
+        for (now = {}; now < end; now += seconds{0.05}) {
+            if (!calm && now > calm_from) {
                 // From here on nothing fails, and no service holds a team's limit for ever.
                 calm = true;
                 ends_unread = false;
-                outage_until = blind_until = 0;
+                outage_until = blind_until = {};
                 if (old_leader) // all are replaced by now
                     elect();
                 std::vector<std::string> services;
@@ -810,13 +825,13 @@
                 e.what();
             }
             if (chance(0.0004))
-                outage_until = now + real(1, 60);
+                outage_until = now + between(1, 60);
             if (chance(0.0006)) {
-                blind_until = now + real(1, 60);
+                blind_until = now + between(1, 60);
                 unheard = chance(0.3);
             }
             if (now >= next_job && now >= outage_until && !calm) {
-                next_job = now + real(4, 16);
+                next_job = now + between(4, 16);
                 submit(++n);
             }
             if (chance(0.0015) && n > 0)
@@ -825,7 +840,7 @@
                 cancel_a_predecessor();
             if (chance(0.0008)) {
                 core.reset();
-                double back = now + real(0.1, 8);
+                auto back = now + between(0.1, 8);
                 at(back, [this] {
                     if (!core)
                         elect();
@@ -835,31 +850,31 @@
                 if (chance(0.00004))
                     w.alive = false;
                 if (chance(0.0001))
-                    w.hang_until = now + real(1, 40);
+                    w.hang_until = now + between(1, 40);
                 if (chance(0.0001))
-                    w.deaf_until = now + real(5, 80);
+                    w.deaf_until = now + between(5, 80);
                 if (chance(0.0001))
-                    w.mute_until = now + real(5, 80);
+                    w.mute_until = now + between(5, 80);
                 work(w);
             }
             if (core) {
                 lead();
                 check_blame();
                 if (now >= next_list) {
-                    next_list = now + 5;
+                    next_list = now + 5s;
                     std::vector<listed_machine> hosts;
                     for (auto &[name, w] : workers)
                         if (w.alive)
                             hosts.push_back(
                                 {name, "10.0.0.1:1", w.type, w.zone, w.spot,
                                  now >= w.up_at ? machine_state::running : machine_state::booting,
-                                 1});
+                                 1s});
                     core->on_machine_list(hosts, now, now);
                 }
             }
             if (!calm)
                 check_cancelled();
-            else if (std::fmod(now, 1.0) < 0.05)
+            else if (std::fmod(test::in_seconds(now), 1.0) < 0.05)
                 check_waits();
         }
     }
@@ -871,7 +886,7 @@
 
 TEST_P(random_world, keeps_every_rule_and_finishes) {
     world w(GetParam());
-    w.run(900);
+    w.run(900s);
     EXPECT_TRUE(w.broken.empty()) << w.broken.size() << " broken, first: " << w.broken.front();
     EXPECT_GT(w.starts, 50);
     EXPECT_GT(w.leaders, 1);
@@ -900,7 +915,7 @@
     int starts = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 10; ++seed) {
         world w(seed);
-        w.run(900);
+        w.run(900s);
         starts += w.chained_starts;
         cancelled += w.cancelled_with;
     }
