--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -27,76 +27,12 @@
 }
 
 scheduler::scheduler(const settings::settings &s, std::vector<machine_type> types)
-    : settings_(s), types_(std::move(types)), teams_(s.teams) {}
-
-// --- look-ups ---
-
-scheduler::job_t *scheduler::job_of(const std::string &id) {
-    auto i = jobs_.find(id);
-    return i == jobs_.end() ? nullptr : &i->second;
-}
-
-const catalog::job *scheduler::find_job(const std::string &id) const {
-    auto i = jobs_.find(id);
-    return i == jobs_.end() ? nullptr : &i->second;
-}
-
-const workers::machine *scheduler::find_machine(const std::string &name) const {
-    auto i = machines_.find(name);
-    return i == machines_.end() ? nullptr : &i->second;
-}
-
-scheduler::machine_t &scheduler::machine_of(const std::string &name, time_point now) {
-    auto [i, fresh] = machines_.try_emplace(name);
-    if (fresh) {
-        i->second.name = name;
-        i->second.rented_at = i->second.known_at = now;
-        i->second.idle_since = now;
-        // Whoever answered it before us, did so before our authority began.
-        i->second.lease_bound = std::max(began_, now) +
-                                settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
-        dirty_ = true;
-    }
-    return i->second;
-}
-
-scheduler::attempt_t *scheduler::attempt_of(const catalog::task_ref &t, std::uint64_t number) {
-    auto *j = job_of(t.job);
-    if (!j)
-        return nullptr;
-    auto i = j->live.find(t.index);
-    return i == j->live.end() || i->second.number != number ? nullptr : &i->second;
-}
-
-const machine_type *scheduler::type_of(const std::string &name) const {
-    for (auto &t : types_)
-        if (t.name == name)
-            return &t;
-    return nullptr;
-}
-
-void scheduler::set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
-                         const std::string &address) {
-    if (!address.empty() && m.address != address)
-        m.address = address;
-    if (m.known_type && m.type.name == type && m.zone == zone && m.spot == spot)
-        return; // as in nearly every heartbeat
-    if (auto *t = type_of(type)) {
-        m.type = *t;
-        m.known_type = true;
-    }
-    m.zone = zone;
-    m.spot = spot;
-    m.place = place_of(type, zone, spot);
-    m.touch();
-}
+    : settings_(s), state_(settings_, std::move(types)), teams_(s.teams) {}
 
 // --- taking over ---
 
 void scheduler::begin(time_point now, std::uint64_t token, wall_clock clock) {
-    began_ = now;
-    wall_clock_ = clock;
-    token_ = first_token_ = token;
+    state_.begin_term({token, token, now, clock});
 }
 
 void scheduler::load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
@@ -104,18 +40,13 @@
     job_t j;
     j.spec = r.spec;
     j.version = version;
-    j.accepted_at = std::min(now, wall_clock_.to_steady(r.accepted_at));
+    j.accepted_at = std::min(now, state_.term().clock.to_steady(r.accepted_at));
     j.done.assign(r.spec.tasks, false);
     j.done_durable.assign(r.spec.tasks, false);
     j.own_priority = r.spec.priority;
-    j.image = image_number(r.spec.image);
-    auto &kept = jobs_[id] = std::move(j);
-    if (kept.spec.shape == job_shape::service && !r.cancelled) {
-        services_seen_[kept.spec.job_class] = kept.spec;
-        services_at_[kept.spec.job_class] = now;
-    }
-    if (kept.spec.shape == job_shape::array)
-        typical_ = kept.spec;
+    auto &kept = state_.add_job(id, std::move(j));
+    if (kept.spec.shape == job_shape::array || !r.cancelled)
+        state_.note_workload(kept.spec, now);
     add_dependencies(kept, now);
     if (r.cancelled && !kept.cancelled)
         cancel_job(kept, r.cancelled_at, now);
@@ -125,7 +56,7 @@
     auto &kept = done_records_[record];
     kept.open = false;
     for (auto &p : parts) {
-        auto *j = job_of(p.job);
+        auto *j = state_.find_job(p.job);
         if (!j)
             continue;
         kept.parts.insert({p.job, p.part});
@@ -148,7 +79,7 @@
     auto &kept = segments_[name];
     kept.open = false;
     for (auto &t : tasks) {
-        auto *j = job_of(t.job);
+        auto *j = state_.find_job(t.job);
         if (!j || t.index >= j->spec.tasks || j->done[t.index])
             continue;
         // An older record may still name an attempt that was proven gone before a newer one was
@@ -156,7 +87,7 @@
         if (auto i = j->live.find(t.index); i != j->live.end()) {
             if (i->second.number >= t.attempt)
                 continue;
-            release_attempt(*j, t.index, false);
+            state_.release_attempt(*j, t.index, false);
         }
         kept.tasks.push_back(t);
         // Guards against a second start: the task may be there, or a start may be under way,
@@ -168,12 +99,10 @@
         a.phase = attempt_phase::sent;
         a.inherited = true;
         a.created_at = now;
-        a.estimate = estimates_.expected_run_time(j->spec);
+        a.estimate = state_.estimates().expected_run_time(j->spec);
         a.stop_wanted = j->cancelled;
-        auto &m = machine_of(t.machine, now);
-        m.attempts.insert(a.task);
-        m.touch();
-        j->live[t.index] = std::move(a);
+        state_.ensure_machine(t.machine, now);
+        state_.add_attempt(*j, std::move(a));
     }
 }
 
@@ -189,13 +118,13 @@
         auto &s = rentals_[q.request];
         s.what = q;
         s.round = round;
-        s.asked_at = now - std::max(seconds{}, wall_clock_.to_wall(now) - r.at);
+        s.asked_at = now - std::max(seconds{}, state_.term().clock.to_wall(now) - r.at);
         s.durable = true;
     }
 }
 
 void scheduler::loaded(time_point now) {
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         std::uint32_t top = 0;
         for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
             if (j.done[i] || j.live.count(i))
@@ -206,7 +135,7 @@
                 j.again.insert(i);
     }
     ready_ = true;
-    dirty_ = true;
+    state_.request_planning();
     last_raise_ = now;
     last_fleet_ = now; // heartbeats come first, renting after
 }
@@ -215,8 +144,8 @@
 
 void scheduler::on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
                        time_point now) {
-    dirty_ = true;
-    auto *j = job_of(id);
+    state_.request_planning();
+    auto *j = state_.find_job(id);
     if (!j) {
         load_job(id, r, version, now);
         return;
@@ -229,8 +158,8 @@
 }
 
 void scheduler::on_cancel(const cancel_notice &n, time_point now) {
-    dirty_ = true;
-    auto *j = job_of(n.job);
+    state_.request_planning();
+    auto *j = state_.find_job(n.job);
     if (!j || n.revision < j->version)
         return;
     j->version = n.revision;
@@ -243,10 +172,10 @@
     // The user was told when the record was written, not when we hear of it.
     j.cancelled_at = now;
     if (told_at)
-        j.cancelled_at = std::min(now, wall_clock_.to_steady(*told_at) -
+        j.cancelled_at = std::min(now, state_.term().clock.to_steady(*told_at) -
                                            2 * settings_.clock_bound); // two clocks
     while (!j.queued.empty())
-        remove_from_queue(j, j.queued.begin()->first);
+        state_.remove_from_queue(j, j.queued.begin()->first);
     std::vector<std::uint32_t> indices;
     for (auto &[i, a] : j.live)
         indices.push_back(i);
@@ -254,88 +183,24 @@
         auto &a = j.live[i];
         if (a.phase == attempt_phase::committing || a.phase == attempt_phase::committed ||
             a.phase == attempt_phase::exited)
-            release_attempt(j, i, false);
+            state_.release_attempt(j, i, false);
         else
-            stop_attempt(a, seconds{});
+            state_.request_stop(a, seconds{});
     }
     follow(graph_.note_end(j.spec.id, {job_state::cancelled, now}), now);
 }
 
 void scheduler::on_token(std::uint64_t token) {
-    if (token > token_)
-        token_ = token;
-}
-
-void scheduler::remove_from_queue(job_t &j, std::uint32_t index) {
-    auto q = j.queued.find(index);
-    if (q == j.queued.end())
-        return;
-    auto m = machines_.find(q->second);
-    if (m != machines_.end()) {
-        auto &d = m->second.queue;
-        catalog::task_ref ref{j.spec.id, index};
-        d.erase(std::remove_if(d.begin(), d.end(), [&](auto &t) { return t.task == ref; }),
-                d.end());
-        m->second.touch();
-    }
-    j.queued.erase(q);
-}
-
-void scheduler::clear_queue(machine_t &m) {
-    for (auto &t : m.queue)
-        if (auto *j = job_of(t.task.job)) {
-            j->queued.erase(t.task.index);
-            j->push_back(t.task.index);
-        }
-    m.queue.clear();
-    m.touch();
-    dirty_ = true;
-}
-
-// Guards against tasks that wait for ever on a machine that gets no more work: what was placed
-// there, but never sent, goes elsewhere (a machine is quarantined for good, world 30).
-void scheduler::withdraw_unstarted(machine_t &m) {
-    clear_queue(m);
-    auto refs = m.attempts;
-    for (auto &ref : refs)
-        if (auto *j = job_of(ref.job))
-            if (auto i = j->live.find(ref.index);
-                i != j->live.end() && i->second.phase == attempt_phase::committed)
-                release_attempt(*j, ref.index, true);
-}
-
-void scheduler::release_attempt(job_t &j, std::uint32_t index, bool again) {
-    auto i = j.live.find(index);
-    if (i == j.live.end())
-        return;
-    if (again && !j.over())
-        spdlog::debug("{}/{} is no longer on {}", j.spec.id, index, i->second.machine);
-    auto m = machines_.find(i->second.machine);
-    if (m != machines_.end()) {
-        m->second.attempts.erase(i->second.task);
-        m->second.touch();
-    }
-    j.live.erase(i);
-    if (again)
-        j.push_back(index);
-    dirty_ = true;
-}
-
-void scheduler::stop_attempt(attempt_t &a, seconds grace) {
-    if (a.stop_wanted && grace >= a.grace)
-        return;
-    a.stop_wanted = true;
-    a.grace = grace;
-    urgent_.insert(a.machine);
+    state_.raise_token(token);
 }
 
 // --- heartbeats ---
 
 scheduler::heartbeat_age scheduler::on_heartbeat(const heartbeat &r, time_point now, bool reply) {
-    if (removed_.count(r.machine))
+    if (state_.was_removed(r.machine))
         return heartbeat_age::dead;
-    auto &m = machine_of(r.machine, now);
-    set_type(m, r.type, r.zone, r.spot, r.address);
+    auto &m = state_.ensure_machine(r.machine, now);
+    state_.describe_machine(m, r.type, r.zone, r.spot, r.address);
     if (m.heard_at && !r.newer_than(m.incarnation, m.sequence))
         return r.incarnation == m.incarnation ? heartbeat_age::stale : heartbeat_age::dead;
     bool first = !m.up;
@@ -362,7 +227,7 @@
         m.up = true;
         m.up_at = now;
         m.idle_since = now;
-        dirty_ = true;
+        state_.request_planning();
     }
     if (new_incarnation)
         m.idle_since = now; // cut off until now, not idle
@@ -380,7 +245,7 @@
         if (!listed.count(ref))
             missing.push_back(ref);
     for (auto &ref : missing) {
-        auto *j = job_of(ref.job);
+        auto *j = state_.find_job(ref.job);
         auto i = j ? j->live.find(ref.index) : decltype(j->live.end()){};
         if (!j || i == j->live.end()) {
             m.attempts.erase(ref);
@@ -391,7 +256,7 @@
         // What an earlier leader placed, we can't tell in which incarnation; its order may yet
         // arrive.
         if (new_incarnation && a.possibly_running() && !a.inherited)
-            release_attempt(*j, ref.index, true);
+            state_.release_attempt(*j, ref.index, true);
         else
             reconcile_missing_task(m, *j, a, r, now);
     }
@@ -400,18 +265,18 @@
     if (r.reclaim_notice) {
         if (!m.reclaim_at) {
             m.reclaim_at = now + *r.reclaim_notice;
-            withdraw_unstarted(m);
+            state_.withdraw_unstarted(m);
             // What can't finish or save in time starts again elsewhere at once.
             for (auto &ref : m.attempts)
-                if (auto *j = job_of(ref.job))
+                if (auto *j = state_.find_job(ref.job))
                     if (auto i = j->live.find(ref.index); i != j->live.end()) {
                         auto &a = i->second;
                         seconds ran = a.ran_for(now);
                         seconds left = std::max(seconds{}, a.estimate - ran);
                         if (a.possibly_running() && j->spec.shape == job_shape::array &&
                             left > *r.reclaim_notice * c::reclaim_notice_tolerance)
-                            stop_attempt(a,
-                                         std::min(*r.reclaim_notice, j->spec.checkpoint_duration));
+                            state_.request_stop(
+                                a, std::min(*r.reclaim_notice, j->spec.checkpoint_duration));
                     }
         }
     } else {
@@ -423,9 +288,9 @@
 }
 
 void scheduler::reconcile_listed_task(machine_t &m, const task_status &t, time_point now) {
-    auto *j = job_of(t.job);
+    auto *j = state_.find_job(t.job);
     catalog::task_ref ref{t.job, t.index};
-    auto *a = attempt_of(ref, t.attempt);
+    auto *a = state_.find_attempt(ref, t.attempt);
     if (a && a->machine != m.name)
         a = nullptr;
     if (!a) {
@@ -436,9 +301,9 @@
                 task_done(*j, t.index, now);
                 if (auto i = j->live.find(t.index); i != j->live.end()) {
                     if (i->second.possibly_running())
-                        stop_attempt(i->second, seconds{});
+                        state_.request_stop(i->second, seconds{});
                     else
-                        release_attempt(*j, t.index, false);
+                        state_.release_attempt(*j, t.index, false);
                 }
             }
             // Kept until its being done is durable: losing it would lose the result.
@@ -466,13 +331,13 @@
     case task_state::running:
         if (a->phase != attempt_phase::running) {
             a->running_since = now;
-            dirty_ = true;
+            state_.request_planning();
             spdlog::debug("{}/{} runs on {} ({} {}) {:.1f} s after it was accepted, {:.1f} s after "
                           "its placement",
                           t.job, t.index, m.name, m.type.name, m.zone,
                           (now - j->accepted_at).count(), (now - a->created_at).count());
         }
-        failures_.machine_ran(m.name, a->created_at);
+        state_.failures().machine_ran(m.name, a->created_at);
         a->phase = attempt_phase::running;
         a->running_seen = now;
         m.use_image(j->spec.image, j->spec.image_gb, now);
@@ -495,7 +360,8 @@
         (m.announced_token > 0 && r.token >= m.announced_token && !starts_ignored_)) {
         if (starts_seen_ || m.announced_at) {
             m.ignored_heartbeats = 0;
-            dirty_ = dirty_ || m.outbound_partition_since;
+            if (m.outbound_partition_since)
+                state_.request_planning();
             m.outbound_partition_since.reset();
         }
         m.announced_at.reset();
@@ -510,7 +376,7 @@
         m.ignored_heartbeats = 0;
         m.outbound_partition_since.reset();
         m.announced_at.reset();
-        dirty_ = true;
+        state_.request_planning();
     }
     bool token_ignored =
         m.announced_at && r.token < m.announced_token && now - *m.announced_at > round;
@@ -525,12 +391,12 @@
         return;
     spdlog::info("{}: does not hear us, gets no more work", m.name);
     m.outbound_partition_since = now;
-    withdraw_unstarted(m);
+    state_.withdraw_unstarted(m);
 }
 
 // A task that runs without our knowing must count everywhere until it is stopped.
 void scheduler::adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now) {
-    remove_from_queue(j, t.index);
+    state_.remove_from_queue(j, t.index);
     j.again.erase(t.index);
     for (; j.next_fresh <= t.index; ++j.next_fresh)
         if (j.next_fresh != t.index && !j.done[j.next_fresh] && !j.live.count(j.next_fresh) &&
@@ -545,17 +411,15 @@
                                                      : attempt_phase::fetching;
     a.created_at = now;
     a.running_since = now;
-    a.estimate = expected_run_time(j);
-    m.attempts.insert(a.task);
-    m.touch();
-    auto &kept = j.live[t.index] = std::move(a);
-    stop_attempt(kept, seconds{});
+    a.estimate = state_.expected_run_time(j);
+    auto &kept = state_.add_attempt(j, std::move(a));
+    state_.request_stop(kept, seconds{});
     spdlog::info("{}: adopted {}/{} attempt {}", m.name, t.job, t.index, t.attempt);
 }
 
 void scheduler::reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
                                       time_point now) {
-    dirty_ = true;
+    state_.request_planning();
     auto index = a.task.index;
     auto cause = t.cause;
     seconds ran = a.ran_for(now);
@@ -564,7 +428,7 @@
     bool forget = true;
     switch (cause) {
     case exit_cause::done:
-        failures_.machine_ran(m.name, a.created_at);
+        state_.failures().machine_ran(m.name, a.created_at);
         m.use_image(j.spec.image, j.spec.image_gb, now);
         if (j.spec.shape == job_shape::array && !j.over()) {
             if (ran > seconds{}) {
@@ -578,12 +442,12 @@
                 }
                 j.took_sum += normal;
                 ++j.took_count;
-                estimates_.measured(j.spec.job_class, j.spec.estimate, normal);
+                state_.estimates().measured(j.spec.job_class, j.spec.estimate, normal);
             }
             task_done(j, index, now);
             forget = false;
         }
-        failures_.job_ran(j.spec.id);
+        state_.failures().job_ran(j.spec.id);
         quarantine_faulty();
         break;
     case exit_cause::error:
@@ -592,7 +456,7 @@
     case exit_cause::no_room:
     case exit_cause::busy:
         m.refused_until = now + c::refused_pause;
-        clear_queue(m);
+        state_.clear_queue(m);
         break;
     case exit_cause::unknown:
         // Its user may not have uploaded it yet.
@@ -603,31 +467,31 @@
         break;
     }
     if (forget) {
-        release_attempt(j, index, true);
+        state_.release_attempt(j, index, true);
         m.cleanup_commands.push_back({command_kind::remove, t.job, t.index, t.attempt, seconds{}});
     }
 }
 
 void scheduler::task_failed(machine_t &m, job_t &j, const attempt_t &a, time_point now) {
     seconds ran = a.ran_for(now);
-    if (failures_.attempt_failed({j.spec.id, m.name, ran, job_runs(j)}, now)) {
+    if (state_.failures().attempt_failed({j.spec.id, m.name, ran, job_runs(j)}, now)) {
         spdlog::info("{}: fails wherever it runs, retried one task at a time", j.spec.id);
         while (!j.queued.empty()) {
             auto index = j.queued.begin()->first;
-            remove_from_queue(j, index);
+            state_.remove_from_queue(j, index);
             j.push_back(index);
         }
     }
-    m.probation_until = failures_.probation_until(m.name);
+    m.probation_until = state_.failures().probation_until(m.name);
     if (m.probation_until > now)
-        clear_queue(m);
+        state_.clear_queue(m);
     quarantine_faulty();
 }
 
 bool scheduler::job_runs(const job_t &j) const {
     if (j.done_seen > 0)
         return true;
-    seconds proof = failures_.proof_duration(j.spec.id);
+    seconds proof = state_.failures().proof_duration(j.spec.id);
     // Reported so again and again: without heartbeats nobody knows whether it still runs.
     return std::any_of(j.live.begin(), j.live.end(), [&](auto &i) {
         auto &a = i.second;
@@ -636,42 +500,42 @@
 }
 
 void scheduler::review_failures() {
-    for (auto &id : failures_.unproven_jobs()) {
-        auto *j = job_of(id);
+    for (auto &id : state_.failures().unproven_jobs()) {
+        auto *j = state_.find_job(id);
         if (!j || j->over())
-            failures_.forget_job(id);
+            state_.failures().forget_job(id);
         else if (job_runs(*j))
-            failures_.job_ran(id);
+            state_.failures().job_ran(id);
     }
     quarantine_faulty();
-    for (auto &[name, m] : machines_)
-        m.probation_until = failures_.probation_until(name);
+    for (auto &[name, m] : state_.machines())
+        m.probation_until = state_.failures().probation_until(name);
 }
 
 void scheduler::quarantine_faulty() {
-    for (auto &name : failures_.take_faulty()) {
-        auto i = machines_.find(name);
-        if (i == machines_.end() || i->second.quarantined)
+    for (auto &name : state_.failures().take_faulty()) {
+        auto i = state_.machines().find(name);
+        if (i == state_.machines().end() || i->second.quarantined)
             continue;
         spdlog::info("{}: quarantined, tasks fail there", name);
         i->second.quarantined = true;
-        withdraw_unstarted(i->second);
+        state_.withdraw_unstarted(i->second);
     }
 }
 
 bool scheduler::may_place(const job_t &j, time_point now) const {
     if (j.waiting() == 0 || now < j.backoff_until)
         return false;
-    if (!failures_.is_suspect(j.spec.id))
+    if (!state_.failures().is_suspect(j.spec.id))
         return true;
-    return now >= failures_.retry_at(j.spec.id) && j.queued.empty() && j.live.empty();
+    return now >= state_.failures().retry_at(j.spec.id) && j.queued.empty() && j.live.empty();
 }
 
 void scheduler::load_suspects(const std::vector<std::string> &jobs, time_point now) {
     suspects_written_ = jobs;
     for (auto &id : jobs)
-        if (job_of(id))
-            failures_.load_suspect(id, now);
+        if (state_.find_job(id))
+            state_.failures().load_suspect(id, now);
 }
 
 // The attempt is not in a heartbeat newer than all we knew.
@@ -685,15 +549,15 @@
     case attempt_phase::exited:
         // Forgotten by the worker (or its incarnation over); the done record is on its way.
         if (a.cause != exit_cause::done)
-            release_attempt(j, index, true);
+            state_.release_attempt(j, index, true);
         return;
     case attempt_phase::sent:
         if (m.has_unacknowledged_command(now))
             return; // an order may still arrive
         if (a.inherited) {
             // Once the worker has seen our token, no start of an earlier leader can arrive.
-            if (r.token >= first_token_)
-                release_attempt(j, index, true);
+            if (r.token >= state_.term().first_token)
+                state_.release_attempt(j, index, true);
             return;
         }
         // It was in the answer to an older heartbeat and is not there: that answer was dropped,
@@ -701,7 +565,7 @@
         if (a.sent_incarnation == r.incarnation && r.sequence > a.sent_sequence) {
             starts_ignored_ = true;
             if (a.stop_wanted || !m.usable())
-                release_attempt(j, index, true);
+                state_.release_attempt(j, index, true);
             else
                 a.phase = attempt_phase::committed;
         }
@@ -710,7 +574,7 @@
     case attempt_phase::running:
     case attempt_phase::checkpointing:
         if (!m.has_unacknowledged_command(now))
-            release_attempt(j, index, true);
+            state_.release_attempt(j, index, true);
         return;
     }
 }
@@ -718,7 +582,7 @@
 void scheduler::task_done(job_t &j, std::uint32_t index, time_point now) {
     if (j.over() || j.done[index])
         return;
-    remove_from_queue(j, index);
+    state_.remove_from_queue(j, index);
     j.again.erase(index);
     for (; j.next_fresh <= index; ++j.next_fresh)
         if (j.next_fresh != index && !j.done[j.next_fresh] && !j.live.count(j.next_fresh) &&
@@ -744,7 +608,7 @@
     // Room once the commands to stop in this very list are carried out, which go before the starts.
     bidding::room room{m.type.cpus, m.type.gpus, m.type.memory_gb};
     for (auto &ref : m.attempts)
-        if (auto *j = job_of(ref.job))
+        if (auto *j = state_.find_job(ref.job))
             if (auto i = j->live.find(ref.index); i != j->live.end()) {
                 auto &a = i->second;
                 bool stops_now = a.stop_wanted && a.grace <= seconds{};
@@ -752,7 +616,7 @@
                     room.take(j->spec);
             }
     for (auto &ref : m.attempts) {
-        auto *j = job_of(ref.job);
+        auto *j = state_.find_job(ref.job);
         if (!j)
             continue;
         auto i = j->live.find(ref.index);
@@ -807,18 +671,19 @@
 
 std::vector<command> scheduler::commands_for_answer(const std::string &machine, time_point now,
                                                     bool starts) {
-    auto i = machines_.find(machine);
-    return i == machines_.end() ? std::vector<command>() : commands(i->second, true, now, starts);
+    auto i = state_.machines().find(machine);
+    return i == state_.machines().end() ? std::vector<command>()
+                                        : commands(i->second, true, now, starts);
 }
 
 bool scheduler::holds_nothing(const heartbeat &r) const {
     if (!r.tasks.empty())
         return false;
-    auto i = machines_.find(r.machine);
-    if (i == machines_.end())
+    auto i = state_.machines().find(r.machine);
+    if (i == state_.machines().end())
         return true;
     for (auto &ref : i->second.attempts)
-        if (auto *j = find_job(ref.job))
+        if (auto *j = state_.find_job(ref.job))
             if (auto a = j->live.find(ref.index);
                 a != j->live.end() && a->second.possibly_running())
                 return false;
@@ -827,8 +692,8 @@
 
 std::vector<command> scheduler::direct_commands_for(const std::string &machine, time_point now,
                                                     bool may_start) {
-    auto i = machines_.find(machine);
-    if (i == machines_.end() || !i->second.up || i->second.commands_open > 0)
+    auto i = state_.machines().find(machine);
+    if (i == state_.machines().end() || !i->second.up || i->second.commands_open > 0)
         return {};
     auto &m = i->second;
     auto out = commands(m, false, now, may_start);
@@ -836,7 +701,8 @@
     for (auto &o : out)
         if (o.kind == command_kind::start) {
             starts = true;
-            if (auto *a = attempt_of({o.job, o.index}, o.attempt); a && a->sent_incarnation == 0) {
+            if (auto *a = state_.find_attempt({o.job, o.index}, o.attempt);
+                a && a->sent_incarnation == 0) {
                 // Nothing about it is known until the command is resolved.
                 a->sent_incarnation = m.incarnation;
                 a->sent_sequence = m.sequence;
@@ -851,7 +717,7 @@
     return std::all_of(commands.begin(), commands.end(), [&](const command &o) {
         if (o.kind != command_kind::start)
             return true;
-        auto *j = find_job(o.job);
+        auto *j = state_.find_job(o.job);
         if (!j || j->over())
             return false;
         auto a = j->live.find(o.index);
@@ -860,14 +726,15 @@
 }
 
 void scheduler::command_resolved(const std::string &machine) {
-    if (auto i = machines_.find(machine); i != machines_.end() && i->second.commands_open > 0)
+    if (auto i = state_.machines().find(machine);
+        i != state_.machines().end() && i->second.commands_open > 0)
         --i->second.commands_open;
 }
 
 void scheduler::command_unresolved(const std::string &machine, std::uint64_t token,
                                    std::uint64_t incarnation) {
-    auto i = machines_.find(machine);
-    if (i == machines_.end())
+    auto i = state_.machines().find(machine);
+    if (i == state_.machines().end())
         return;
     if (i->second.commands_open > 0)
         --i->second.commands_open;
@@ -878,9 +745,9 @@
 bool scheduler::wants_token_raise(time_point now) {
     if (!elapsed(last_raise_, c::token_bump, now))
         return false;
-    for (auto &[name, m] : machines_)
+    for (auto &[name, m] : state_.machines())
         if (m.commands_open == 0 && m.has_unacknowledged_direct_command() &&
-            m.unresolved_token >= token_) {
+            m.unresolved_token >= state_.term().token) {
             last_raise_ = now;
             return true;
         }
@@ -888,8 +755,8 @@
 }
 
 void scheduler::answered(const std::string &machine, heartbeat_age age, time_point now) {
-    auto i = machines_.find(machine);
-    if (i == machines_.end())
+    auto i = state_.machines().find(machine);
+    if (i == state_.machines().end())
         return;
     auto &m = i->second;
     m.lease_bound = std::max(m.lease_bound, now + settings_.lease_duration * (1 + c::clock_drift) +
@@ -899,32 +766,16 @@
     if (age != heartbeat_age::fresh)
         return;
     m.answered_at = now;
-    if (!m.announced_at && m.token < token_) {
-        m.announced_token = token_;
+    if (!m.announced_at && m.token < state_.term().token) {
+        m.announced_token = state_.term().token;
         m.announced_at = now;
     }
 }
 
-std::vector<std::string> scheduler::take_urgent() {
-    std::vector<std::string> out;
-    for (auto i = urgent_.begin(); i != urgent_.end();) {
-        auto m = machines_.find(*i);
-        if (m == machines_.end() || !m->second.up) {
-            i = urgent_.erase(i);
-        } else if (m->second.commands_open > 0) {
-            ++i; // after the command that is under way
-        } else {
-            out.push_back(*i);
-            i = urgent_.erase(i);
-        }
-    }
-    return out;
-}
-
 // --- views ---
 
 std::optional<scheduler::progress> scheduler::job_progress(const std::string &id) const {
-    auto *j = find_job(id);
+    auto *j = state_.find_job(id);
     if (!j)
         return {};
     return progress{j->done_count, j->running()};
@@ -932,20 +783,20 @@
 
 std::string scheduler::summary() const {
     std::size_t up = 0, booting = 0, spot = 0, queued = 0, attempts = 0, waiting = 0, running = 0;
-    for (auto &[n, m] : machines_) {
+    for (auto &[n, m] : state_.machines()) {
         m.up ? ++up : ++booting;
         if (m.spot)
             ++spot;
         queued += m.queue.size();
         attempts += m.attempts.size();
     }
-    for (auto &[n, j] : jobs_) {
+    for (auto &[n, j] : state_.jobs()) {
         waiting += j.waiting();
         running += j.running();
     }
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
                        "{} queued {} waiting, {} stopped to make room",
-                       up, booting, spot, jobs_.size(), attempts, running, queued, waiting,
+                       up, booting, spot, state_.jobs().size(), attempts, running, queued, waiting,
                        preempted_tasks_);
 }
 
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -8,6 +8,7 @@
 #include "fairness/chain_order.hpp"
 #include "fairness/team_order.hpp"
 #include "fairness/team_queues.hpp"
+#include "model/cluster_state.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
@@ -142,9 +143,9 @@
     std::vector<std::string> take_deletions(time_point now);
     std::vector<rental_request> take_rentals(time_point now);
     // Machines to which commands should go at once.
-    std::vector<std::string> take_urgent();
+    std::vector<std::string> take_urgent() { return state_.take_urgent(); }
     // A command to it is under way already: it is to be given out again.
-    void keep_urgent(const std::string &machine) { urgent_.insert(machine); }
+    void keep_urgent(const std::string &machine) { state_.mark_urgent(machine); }
     bool wants_token_raise(time_point now);
 
     // --- views ---
@@ -152,12 +153,14 @@
         std::uint32_t done = 0, running = 0;
     };
     std::optional<progress> job_progress(const std::string &id) const;
-    const workers::machine *find_machine(const std::string &name) const;
-    const catalog::job *find_job(const std::string &id) const;
-    const std::map<std::string, catalog::job> &jobs() const { return jobs_; }
-    const std::map<std::string, workers::machine> &machines() const { return machines_; }
-    const std::vector<machine_type> &types() const { return types_; }
-    std::uint64_t token() const { return token_; }
+    const workers::machine *find_machine(const std::string &name) const {
+        return state_.find_machine(name);
+    }
+    const catalog::job *find_job(const std::string &id) const { return state_.find_job(id); }
+    const std::map<std::string, catalog::job> &jobs() const { return state_.jobs(); }
+    const std::map<std::string, workers::machine> &machines() const { return state_.machines(); }
+    const std::vector<machine_type> &types() const { return state_.types(); }
+    std::uint64_t token() const { return state_.term().token; }
     std::string summary() const;
 
   private:
@@ -165,13 +168,6 @@
     using machine_t = workers::machine;
     using attempt_t = catalog::attempt;
 
-    job_t *job_of(const std::string &id);
-    machine_t &machine_of(const std::string &name, time_point now);
-    attempt_t *attempt_of(const catalog::task_ref &t, std::uint64_t number);
-    const machine_type *type_of(const std::string &name) const;
-    void set_type(machine_t &m, const std::string &type, const std::string &zone, bool spot,
-                  const std::string &address);
-
     void reconcile_listed_task(machine_t &m, const task_status &t, time_point now);
     void reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
                                time_point now);
@@ -187,23 +183,15 @@
     // A suspect job is retried one task at a time.
     bool may_place(const job_t &j, time_point now) const;
     void write_suspects(std::vector<durable_write> &out, time_point now);
-    void release_attempt(job_t &j, std::uint32_t index, bool again);
-    void stop_attempt(attempt_t &a, seconds grace);
     void cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now);
     // Work that saves may do so before it makes room; other work would only lose the time.
     static seconds grace_of(const job_spec &s) {
         return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
     }
-    void clear_machine(machine_t &m, bool gone);
-    void remove_machine(const std::string &name, time_point now);
-    void clear_queue(machine_t &m);
-    void withdraw_unstarted(machine_t &m);
-    void remove_from_queue(job_t &j, std::uint32_t index);
     void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
                                    time_point now);
     void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
     std::vector<command> commands(machine_t &m, bool in_answer, time_point now, bool may_start);
-    void request_deletion(machine_t &m, const char *why);
 
     void check_leases(time_point now);
     void check_cancelled(time_point now);
@@ -217,8 +205,6 @@
     std::optional<round_bid> best_bid(const job_t &j, bid_round &round, time_point now);
     // The places (type, zone, kind) where one more task of the job may be now.
     std::vector<char> places_for(const job_t &j) const;
-    std::size_t place_of(const std::string &type, const std::string &zone, bool spot);
-    std::uint32_t image_number(const std::string &image);
     // Tasks of the latest array for which such a replica would take the room.
     int displaced_slots(const bidder &b, const job_spec &s) const;
     bidder *preempt_for_guarantee(const job_t &j, bid_round &round, time_point now);
@@ -242,7 +228,6 @@
     void count_usage();
     void mark_guaranteed();
     bool type_allowed(const job_spec &s, const std::string &type) const;
-    seconds expected_run_time(const job_t &j) const;
     fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
     durable_write end_write(const job_t &j, time_point now);
     // --- dependencies (engine_dependencies.cpp) ---
@@ -265,25 +250,20 @@
     void write_rentals(std::vector<durable_write> &out);
 
     settings::settings settings_;
-    std::vector<machine_type> types_;
+    model::cluster_state state_;
     fairness::team_queues teams_;
-    bidding::estimates estimates_;
-    std::map<std::string, job_t> jobs_;
-    catalog::dependency_graph graph_;  // of jobs_; its times are of the steady clock
-    std::set<std::string> inheriting_; // jobs whose priority or due times come from others
-    std::map<std::string, machine_t> machines_;
+    catalog::dependency_graph graph_;       // of jobs_; its times are of the steady clock
+    std::set<std::string> inheriting_;      // jobs whose priority or due times come from others
     std::map<std::string, bidder> bidders_; // of machines, as last worked out
     std::map<std::string, tracked_rental> rentals_;
     struct rental_round {
         bool written = false, busy = false;
     };
     std::map<std::string, rental_round> rental_rounds_;
-    std::map<std::string, time_point> removed_; // machines that are gone, with the time
     std::map<std::string, time_point> refused_; // offers without capacity, until when
     std::set<std::string> sold_out_;   // offers whose last answer was not all that was asked for
     std::map<std::string, int> asked_; // machines asked for by offer, not answered yet
     static std::string offer_key(const std::string &type, const std::string &zone, bool spot);
-    workers::failure_ledger failures_;
     std::vector<std::string> suspects_written_; // as the record at the key-value store has them
     bool suspects_busy_ = false;
     std::optional<time_point> suspects_at_; // s; when the record was last written
@@ -313,32 +293,17 @@
     std::uint64_t segment_counter_ = 0;
     std::optional<time_point> last_sweep_;
     std::optional<time_point> next_placement_; // s
-    std::set<std::string> urgent_;
-    std::map<std::string, job_spec> services_seen_; // largest recent replica of each class
-    std::map<std::string, time_point> services_at_;
-    std::optional<job_spec> typical_; // the latest array
 
-    std::uint64_t token_ = 0, first_token_ = 0;
-    std::uint64_t counter_ = 0;
     std::uint64_t rental_counter_ = 0, rental_round_ = 0;
     std::optional<time_point> rental_round_at_; // s
-    time_point began_{};
-    wall_clock wall_clock_;
     bool ready_ = false;
     std::optional<time_point> hold_until_; // s; no task is placed before
-    bool dirty_ = true;
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_fleet_;
     std::optional<time_point> last_rebid_;
     std::optional<time_point> last_raise_;
     std::map<std::string, time_point> zone_doubt_until_;
-    std::set<std::string> spare_; // machines kept as warm room
-    struct place {
-        std::string type, zone;
-        bool spot = false;
-    };
-    std::vector<place> places_;
-    std::map<std::string, std::uint32_t> image_numbers_;
+    std::set<std::string> spare_;            // machines kept as warm room
     std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
     std::optional<time_point> last_check_;   // s
     std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
--- a/src/control/scheduler_dependencies.cpp
+++ b/src/control/scheduler_dependencies.cpp
@@ -20,7 +20,7 @@
     auto &id = j.spec.id;
     graph_.add(id, j.spec.predecessors);
     for (auto &predecessor : j.spec.predecessors)
-        if (auto *p = job_of(predecessor); p && p->cancelled)
+        if (auto *p = state_.find_job(predecessor); p && p->cancelled)
             graph_.note_end(predecessor, {job_state::cancelled, now});
     auto stands = graph_.of(id);
     j.ready = stands == catalog::standing::ready;
@@ -32,7 +32,7 @@
 void scheduler::on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
                                    time_point now) {
     catalog::predecessor_end steady{end.state, now};
-    steady.at = end.at ? std::min(now, wall_clock_.to_steady(*end.at)) : now;
+    steady.at = end.at ? std::min(now, state_.term().clock.to_steady(*end.at)) : now;
     follow(graph_.note_end(id, steady), now);
 }
 
@@ -44,19 +44,19 @@
 
 void scheduler::follow(const catalog::dependency_graph::changes &changes, time_point now) {
     for (auto &id : changes.ready)
-        if (auto *j = job_of(id)) {
+        if (auto *j = state_.find_job(id)) {
             j->ready = true;
             j->ready_at = std::max(j->accepted_at, graph_.find(id)->ready_at);
-            dirty_ = true;
+            state_.request_planning();
         }
     // None of them was ready, so none has a task.
     for (auto &id : changes.cancelled)
-        if (auto *j = job_of(id); j && !j->cancelled)
+        if (auto *j = state_.find_job(id); j && !j->cancelled)
             cancel_job(*j, std::nullopt, now);
 }
 
 std::set<std::string> scheduler::unresolved_predecessors() const {
-    return graph_.unresolved([&](const std::string &id) { return jobs_.count(id) > 0; });
+    return graph_.unresolved([&](const std::string &id) { return state_.jobs().count(id) > 0; });
 }
 
 // From its readiness to its end: fetching the image, and as many waves as its team's limit makes
@@ -71,15 +71,15 @@
             waves = std::max(waves, std::ceil(tasks * s.gpus / team->gpus_max));
     }
     double slowest = 0; // GB/s
-    for (auto &t : types_)
+    for (auto &t : state_.types())
         if (type_allowed(s, t.name) && t.fetch_gb_per_s > 0)
             slowest = slowest > 0 ? std::min(slowest, t.fetch_gb_per_s) : t.fetch_gb_per_s;
     seconds fetch_time{slowest > 0 ? s.image_gb / slowest : 0};
-    return c::chain_stage + fetch_time + waves * c::chain_run_margin * expected_run_time(j);
+    return c::chain_stage + fetch_time + waves * c::chain_run_margin * state_.expected_run_time(j);
 }
 
 std::optional<fairness::chain_member> scheduler::chain_member_of(const std::string &id) const {
-    auto *j = find_job(id);
+    auto *j = state_.find_job(id);
     if (!j || j->over())
         return {};
     fairness::chain_member member;
@@ -111,7 +111,7 @@
 }
 
 void scheduler::take_inherited(const std::string &id, const fairness::inherited &from) {
-    auto *j = job_of(id);
+    auto *j = state_.find_job(id);
     if (!j)
         return;
     j->inherited_first_due = from.due ? std::optional(from.due->first) : std::nullopt;
@@ -121,7 +121,7 @@
         return;
     j->spec.priority = priority;
     for (auto &[index, a] : j->live)
-        if (auto m = machines_.find(a.machine); m != machines_.end())
+        if (auto m = state_.machines().find(a.machine); m != state_.machines().end())
             m->second.touch(); // which room its tasks leave to others depends on the priority
 }
 
--- a/src/control/scheduler_fleet.cpp
+++ b/src/control/scheduler_fleet.cpp
@@ -20,7 +20,7 @@
                                                       const std::set<std::string> *zones,
                                                       time_point now) const {
     std::optional<rental_offer> best;
-    for (auto &t : types_) {
+    for (auto &t : state_.types()) {
         if (!type_allowed(s, t.name))
             continue;
         int slots = bidding::room{t.cpus, t.gpus, t.memory_gb}.slots(s);
@@ -54,7 +54,7 @@
     // a record, as far as it holds.
     asked_[offer_key(o.type->name, o.zone, o.spot)] += count;
     std::size_t in_round = 0, bytes = wire::rental_bytes({});
-    auto round = fmt::format("{}-{}", first_token_, rental_round_);
+    auto round = fmt::format("{}-{}", state_.term().first_token, rental_round_);
     for (auto &[request, r] : rentals_)
         if (r.round == round) {
             ++in_round;
@@ -66,13 +66,13 @@
                 return;
             }
         }
-    auto request = fmt::format("r-{}-{}", first_token_, ++rental_counter_);
+    auto request = fmt::format("r-{}-{}", state_.term().first_token, ++rental_counter_);
     rental_request what{request, o.type->name, o.zone, o.spot, count};
     bytes += wire::rental_bytes(what);
     if (rental_round_at_ != now || in_round >= c::rentals_per_record ||
         bytes > most_record_bytes()) {
         rental_round_at_ = now;
-        round = fmt::format("{}-{}", first_token_, ++rental_round_);
+        round = fmt::format("{}-{}", state_.term().first_token, ++rental_round_);
     }
     auto &s = rentals_[request];
     s.what = what;
@@ -102,19 +102,19 @@
         return true;
     };
     // Replicas that nobody could take.
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         if (j.spec.shape != job_shape::service || j.waiting() == 0 || now < j.backoff_until)
             continue;
         std::map<std::string, std::uint32_t> zone_count;
         auto note = [&](const std::string &name) {
-            if (auto i = machines_.find(name); i != machines_.end())
+            if (auto i = state_.machines().find(name); i != state_.machines().end())
                 ++zone_count[i->second.zone];
         };
         for (auto &[i, a] : j.live)
             note(a.machine);
         for (auto &[i, name] : j.queued)
             note(name);
-        auto tasks = failures_.is_suspect(id) ? 1 : j.waiting();
+        auto tasks = state_.failures().is_suspect(id) ? 1 : j.waiting();
         for (std::uint32_t k = 0; k < tasks; ++k) {
             bool done = false;
             for (auto &b : fleet) {
@@ -130,7 +130,7 @@
             if (done)
                 continue;
             std::set<std::string> zones;
-            for (auto &t : types_)
+            for (auto &t : state_.types())
                 for (auto &z : t.zones)
                     if (!j.spec.spread || zone_count[z] < j.zone_cap())
                         zones.insert(z);
@@ -141,9 +141,10 @@
     }
     // Warm room, so that a new replica of a class seen lately starts at once.
     spare_.clear();
-    for (auto &[cls, s] : services_seen_) {
-        if (now - services_at_[cls] > c::service_class_memory)
+    for (auto &[job_class, recent] : state_.recent_services()) {
+        if (now - recent.seen_at > c::service_class_memory)
             continue;
+        auto &s = recent.spec;
         std::map<std::string, int> per_zone;
         for (int k = 0; k < settings_.ops.spare_replicas; ++k) {
             // One after another in different zones where the class is spread.
@@ -169,7 +170,7 @@
 
 double scheduler::ordinary_patience(const job_spec &s) const {
     double spot = 0, ordinary = 0; // the least price of room for one task
-    for (auto &t : types_) {
+    for (auto &t : state_.types()) {
         int slots = bidding::room{t.cpus, t.gpus, t.memory_gb}.slots(s);
         if (slots < 1 || !type_allowed(s, t.name))
             continue;
@@ -193,16 +194,16 @@
     };
     std::map<std::string, kind> kinds;
     std::map<std::string, double> team_cpus;
-    for (auto &[id, j] : jobs_)
+    for (auto &[id, j] : state_.jobs())
         if (j.spec.shape == job_shape::service)
             team_cpus[j.spec.team] += j.spec.cpus * static_cast<double>(j.live.size());
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         if (j.spec.shape != job_shape::array || j.over() || now < j.backoff_until)
             continue;
         double n = j.waiting() + static_cast<double>(j.queued.size());
-        if (failures_.is_suspect(id))
+        if (state_.failures().is_suspect(id))
             n = std::min(n, 1.0); // no room is rented for what fails anyway
-        seconds w = n * expected_run_time(j);
+        seconds w = n * state_.expected_run_time(j);
         for (auto &[i, a] : j.live)
             if (a.holds_resources()) {
                 seconds ran = a.ran_for(now);
@@ -273,12 +274,12 @@
 }
 
 void scheduler::return_idle(time_point now) {
-    for (auto &[name, m] : machines_) {
+    for (auto &[name, m] : state_.machines()) {
         if (!m.up || m.deleting || !m.attempts.empty() || !m.queue.empty() || spare_.count(name))
             continue;
         seconds keep = std::max(c::idle_least, c::idle_boots * m.type.boot_time);
         if (now - m.idle_since > keep)
-            request_deletion(m, "idle");
+            state_.request_deletion(m, "idle");
     }
 }
 
@@ -291,7 +292,7 @@
         if (s.answered)
             continue;
         asked_[offer_key(s.what.type, s.what.zone, s.what.spot)] += s.what.count;
-        auto *t = type_of(s.what.type);
+        auto *t = state_.find_type(s.what.type);
         if (!t)
             continue;
         for (int k = 0; k < s.what.count; ++k) {
--- a/src/control/scheduler_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -35,25 +35,6 @@
     return !s.types || std::find(s.types->begin(), s.types->end(), type) != s.types->end();
 }
 
-// The owner's estimate, corrected by what was measured of the class and of this very job.
-seconds scheduler::expected_run_time(const job_t &j) const {
-    seconds prior = estimates_.expected_run_time(j.spec);
-    return (prior + j.took_sum) / (1 + j.took_count);
-}
-
-std::size_t scheduler::place_of(const std::string &type, const std::string &zone, bool spot) {
-    for (std::size_t i = 0; i < places_.size(); ++i)
-        if (places_[i].type == type && places_[i].zone == zone && places_[i].spot == spot)
-            return i;
-    places_.push_back({type, zone, spot});
-    return places_.size() - 1;
-}
-
-std::uint32_t scheduler::image_number(const std::string &image) {
-    return image_numbers_.emplace(image, static_cast<std::uint32_t>(image_numbers_.size()))
-        .first->second;
-}
-
 // The job's zone rules, given its other tasks: those presumed anywhere and those queued.
 std::vector<char> scheduler::places_for(const job_t &j) const {
     auto &s = j.spec;
@@ -62,9 +43,9 @@
     if (s.spread || s.same_zone) {
         auto count = [&](const std::string &name) {
             ++all;
-            auto i = machines_.find(name);
+            auto i = state_.machines().find(name);
             // Somewhere unknown: it counts against every zone.
-            if (i == machines_.end() || i->second.zone.empty())
+            if (i == state_.machines().end() || i->second.zone.empty())
                 ++unknown;
             else
                 ++in_zone[i->second.zone];
@@ -76,7 +57,7 @@
             count(name);
     }
     std::vector<char> out;
-    for (auto &p : places_) {
+    for (auto &p : state_.machine_classes()) {
         bool ok = type_allowed(s, p.type) && (!s.zone || *s.zone == p.zone) && (!p.spot || s.spot);
         auto here = in_zone.find(p.zone);
         std::uint32_t known = here == in_zone.end() ? 0 : here->second;
@@ -92,7 +73,7 @@
 void scheduler::count_usage() {
     teams_.clear_usage();
     stopping_.clear();
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         int n = static_cast<int>(j.queued.size());
         for (auto &[i, a] : j.live)
             if (a.holds_resources()) {
@@ -114,8 +95,8 @@
     if (!any)
         return;
     std::vector<job_t *> by_age;
-    for (auto &[id, j] : jobs_)
-        if (!j.over() && j.ready && !failures_.is_suspect(id))
+    for (auto &[id, j] : state_.jobs())
+        if (!j.over() && j.ready && !state_.failures().is_suspect(id))
             by_age.push_back(&j);
     std::sort(by_age.begin(), by_age.end(),
               [](auto *a, auto *b) { return a->ready_at < b->ready_at; });
@@ -143,9 +124,9 @@
     b.cached.clear();
     b.coming.clear();
     for (auto &[image, at] : m.images)
-        b.cached.push_back(image_number(image));
+        b.cached.push_back(state_.image_number(image));
     for (auto &ref : m.attempts) {
-        auto *j = job_of(ref.job);
+        auto *j = state_.find_job(ref.job);
         if (!j)
             continue;
         auto i = j->live.find(ref.index);
@@ -159,7 +140,7 @@
             b.fetch(j->image);
     }
     for (auto &t : m.queue)
-        if (auto *j = job_of(t.task.job)) {
+        if (auto *j = state_.find_job(t.task.job)) {
             b.hold(j->spec, t.estimate);
             b.fetch(j->image);
         }
@@ -169,15 +150,15 @@
     seconds age = now - m.rented_at;
     // Guards against deleting the whole fleet as never up, right after a failover.
     seconds finding_us = c::silent_heartbeats * settings_.heartbeat_interval + c::silent_margin;
-    if (now - began_ < finding_us)
+    if (now - state_.term().began < finding_us)
         age = std::min(age, m.type.boot_time);
     return age;
 }
 
 std::vector<bidder *> scheduler::make_bidders(time_point now) {
     std::vector<bidder *> out;
-    out.reserve(machines_.size());
-    for (auto &[name, m] : machines_) {
+    out.reserve(state_.machines().size());
+    for (auto &[name, m] : state_.machines()) {
         if (!m.usable() || m.silent)
             continue;
         if (m.speed_samples >= c::slow_samples && m.speed < c::slow_machine)
@@ -201,11 +182,11 @@
 }
 
 int scheduler::displaced_slots(const bidder &b, const job_spec &s) const {
-    if (!typical_)
+    if (!state_.latest_array())
         return 0;
     auto after = b.whole;
     after.take(s);
-    return b.whole.slots(*typical_) - after.slots(*typical_);
+    return b.whole.slots(*state_.latest_array()) - after.slots(*state_.latest_array());
 }
 
 std::optional<round_bid> scheduler::bid_of(const job_t &j, bidder &b,
@@ -214,7 +195,7 @@
     auto &s = j.spec;
     if (!places[b.place] || !b.m->takes_work(now))
         return {};
-    if (some_failed && failures_.failed_on(j.spec.id, b.m->name))
+    if (some_failed && state_.failures().failed_on(j.spec.id, b.m->name))
         return {};
     bool critical = s.priority == priority_class::critical;
     bool preempting = false;
@@ -254,9 +235,9 @@
 // The lowest bid among all machines.
 std::optional<round_bid> scheduler::best_bid(const job_t &j, bid_round &round, time_point now) {
     auto &s = j.spec;
-    seconds expected = expected_run_time(j);
+    seconds expected = state_.expected_run_time(j);
     auto places = places_for(j);
-    auto failed = failures_.failed_machines(s.id);
+    auto failed = state_.failures().failed_machines(s.id);
     bool some_failed = failed > 0 && failed < round.bidders.size();
     bid_round::need need{s.cpus,
                          s.gpus,
@@ -328,7 +309,7 @@
     std::uint32_t index = 0;
     if (!j.pop_waiting(index))
         return false;
-    seconds estimate = expected_run_time(j) / std::max(best->m->speed, c::speed_floor);
+    seconds estimate = state_.expected_run_time(j) / std::max(best->m->speed, c::speed_floor);
     workers::queued_task t{{s.id, index}, s.priority, estimate};
     auto &q = best->m->queue;
     // First in, first out among equals; higher priority goes before, and so does work for which
@@ -367,7 +348,7 @@
         for (auto *b : round.bidders)
             if (b->m->up)
                 for (auto &ref : b->m->attempts) {
-                    auto *other = job_of(ref.job);
+                    auto *other = state_.find_job(ref.job);
                     if (!other || other->spec.shape != job_shape::array ||
                         beyond(other->spec.team) < other->spec.cpus)
                         continue;
@@ -379,7 +360,7 @@
     }
     auto places = places_for(j);
     for (auto &[created, ref] : round.victims) {
-        auto *other = job_of(ref.job);
+        auto *other = state_.find_job(ref.job);
         if (!other || other->spec.team == s.team)
             continue;
         auto i = other->live.find(ref.index);
@@ -396,11 +377,11 @@
             continue;
         auto at = bidders_.find(a.machine);
         if (at == bidders_.end() || !places[at->second.place] || !at->second.m->takes_work(now) ||
-            failures_.failed_on(s.id, a.machine))
+            state_.failures().failed_on(s.id, a.machine))
             continue;
         stopping_[o.team] += o.cpus;
         ++preempted_tasks_;
-        stop_attempt(a, grace_of(o));
+        state_.request_stop(a, grace_of(o));
         return &at->second;
     }
     return nullptr;
@@ -413,7 +394,7 @@
     if (!elapsed(last_rebid_, c::idle_rebid, now))
         return;
     bool waiting = false, idle = false;
-    for (auto &[name, m] : machines_) {
+    for (auto &[name, m] : state_.machines()) {
         if (!m.queue.empty())
             waiting = true;
         else if (m.up && m.usable() && !m.silent)
@@ -422,14 +403,14 @@
     if (!waiting || !idle)
         return;
     last_rebid_ = now;
-    for (auto &[name, m] : machines_)
+    for (auto &[name, m] : state_.machines())
         if (!m.queue.empty())
-            clear_queue(m);
+            state_.clear_queue(m);
 }
 
 fairness::waiting_job scheduler::waiting_job_of(const job_t &j, time_point now) const {
     fairness::waiting_job w;
-    seconds expected = expected_run_time(j);
+    seconds expected = state_.expected_run_time(j);
     // The deadline counts from the submission, everything else from when the job was ready.
     auto own = j.spec.deadline.value_or(seconds{});
     seconds waited = now - j.ready_at;
@@ -485,7 +466,7 @@
     for (auto priority : {priority_class::critical, priority_class::high, priority_class::normal,
                           priority_class::low}) {
         std::map<std::string, std::vector<candidate>> teams;
-        for (auto &[id, j] : jobs_)
+        for (auto &[id, j] : state_.jobs())
             if (j.spec.priority == priority && may_place(j, now))
                 teams[j.spec.team].push_back({&j, fairness::all_tasks});
         for (auto &[name, list] : teams) {
@@ -507,7 +488,7 @@
         }
         while (!teams.empty()) {
             if (++bids > c::bids_per_round) {
-                dirty_ = true;
+                state_.request_planning();
                 break;
             }
             // Turn by shares: first whoever is within its guarantee, then who uses least for it.
@@ -533,7 +514,7 @@
         }
     }
     // At full size most queues wait for the same task to end as in the round before.
-    for (auto &[name, m] : machines_)
+    for (auto &[name, m] : state_.machines())
         if (!m.queue.empty() && m.startable)
             start_queued(m, now);
 }
@@ -546,7 +527,7 @@
     std::vector<attempt_t *> lower;
     bool stopping = false;
     for (auto &ref : m.attempts) {
-        auto *j = job_of(ref.job);
+        auto *j = state_.find_job(ref.job);
         if (!j)
             continue;
         auto i = j->live.find(ref.index);
@@ -561,7 +542,7 @@
     }
     while (!m.queue.empty()) {
         auto t = m.queue.front();
-        auto *j = job_of(t.task.job);
+        auto *j = state_.find_job(t.task.job);
         if (!j || j->over()) {
             m.queue.pop_front();
             continue;
@@ -572,8 +553,8 @@
             if (t.priority == priority_class::low || stopping)
                 return;
             std::sort(lower.begin(), lower.end(), [&](auto *a, auto *b) {
-                auto ra = job_of(a->task.job)->spec.priority,
-                     rb = job_of(b->task.job)->spec.priority;
+                auto ra = state_.find_job(a->task.job)->spec.priority,
+                     rb = state_.find_job(b->task.job)->spec.priority;
                 return ra != rb ? ra > rb : a->created_at > b->created_at;
             });
             auto sum = room;
@@ -581,7 +562,7 @@
             for (auto *a : lower) {
                 if (sum.fits(j->spec))
                     break;
-                auto &victim = *job_of(a->task.job);
+                auto &victim = *state_.find_job(a->task.job);
                 if (t.priority != priority_class::critical &&
                     (victim.spec.priority != priority_class::low || victim.live.size() <= 1))
                     continue; // the last task of a job stays: it would not begin anew for long
@@ -592,10 +573,10 @@
                 return;
             bool at_once = true;
             for (auto *a : victims) {
-                seconds grace = grace_of(job_of(a->task.job)->spec);
+                seconds grace = grace_of(state_.find_job(a->task.job)->spec);
                 at_once = at_once && grace <= seconds{};
                 ++preempted_tasks_;
-                stop_attempt(*a, grace);
+                state_.request_stop(*a, grace);
             }
             // Its placement is written while the others are being stopped; the start follows the
             // commands to stop, in the same message if need be.
@@ -610,13 +591,12 @@
         room.take(j->spec);
         attempt_t a;
         a.task = t.task;
-        a.number = (token_ << 20) + ++counter_;
+        a.number = state_.next_attempt_number();
         a.machine = m.name;
         a.created_at = now;
         a.estimate = t.estimate;
-        m.attempts.insert(a.task);
         m.idle_since = now;
-        j->live[t.task.index] = std::move(a);
+        state_.add_attempt(*j, std::move(a));
         unplaced_[j->spec.shape == job_shape::service].push_back(t.task);
     }
 }
@@ -624,33 +604,33 @@
 // --- time passes ---
 
 void scheduler::check_leases(time_point now) {
-    for (auto &[name, m] : machines_) {
+    for (auto &[name, m] : state_.machines()) {
         if (now <= m.lease_bound || m.attempts.empty())
             continue;
         // Unanswered for longer than its lease: the worker has killed and forgotten its tasks,
         // and refuses commands of that incarnation.
         auto refs = m.attempts;
         for (auto &ref : refs)
-            if (auto *j = job_of(ref.job))
+            if (auto *j = state_.find_job(ref.job))
                 if (auto i = j->live.find(ref.index);
                     i != j->live.end() && i->second.possibly_running())
-                    release_attempt(*j, ref.index, true);
+                    state_.release_attempt(*j, ref.index, true);
     }
 }
 
 void scheduler::check_cancelled(time_point now) {
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         if (!j.cancelled || j.live.empty())
             continue;
         for (auto &[i, a] : j.live) {
-            auto m = machines_.find(a.machine);
-            if (m == machines_.end() || m->second.deleting)
+            auto m = state_.machines().find(a.machine);
+            if (m == state_.machines().end() || m->second.deleting)
                 continue;
             if (now - j.cancelled_at > c::cancel_delete_share * settings_.cancel_deadline)
-                request_deletion(m->second, "a cancelled task may still be there");
+                state_.request_deletion(m->second, "a cancelled task may still be there");
             else if (!m->second.heard_at ||
                      now - *m->second.heard_at > settings_.heartbeat_interval / 2)
-                urgent_.insert(a.machine);
+                state_.mark_urgent(a.machine);
         }
     }
 }
@@ -667,10 +647,12 @@
     auto silent_for = [&](const machine_t &m) {
         // Listed as running without a word to us counts from then. Guards against feeding a machine
         // that reaches no controller while our commands reach it: its lease ends with all we give.
-        auto since = m.up ? std::max(m.own_heartbeat_at.value_or(began_), began_) : m.running_at;
+        auto since =
+            m.up ? std::max(m.own_heartbeat_at.value_or(state_.term().began), state_.term().began)
+                 : m.running_at;
         return since ? now - *since : seconds{};
     };
-    for (auto &[name, m] : machines_) {
+    for (auto &[name, m] : state_.machines()) {
         m.silent = silent_for(m) > limit;
         if ((!m.up && !m.running_at) || m.deleting)
             continue;
@@ -682,14 +664,14 @@
         }
         // Nothing waits in the queue of a machine that may be dead.
         if (m.silent && !m.queue.empty())
-            clear_queue(m);
+            state_.clear_queue(m);
     }
     bool all_doubt = all.doubt(3, c::silent_share);
     // After a cut the machines come back one after another.
     for (auto &[zone, t] : zones)
         if (t.doubt(2, c::silent_zone_share))
             zone_doubt_until_[zone] = now + c::cut_return;
-    for (auto &[name, m] : machines_) {
+    for (auto &[name, m] : state_.machines()) {
         if (m.deleting)
             continue;
         seconds age = boot_age(m, now);
@@ -698,25 +680,25 @@
         bool doubt = all_doubt || zone_doubt_until_[m.zone] > now;
         if (m.silent &&
             (!doubt || silent_for(m) > limit + settings_.lease_duration + c::cut_patience)) {
-            request_deletion(m, "silent");
+            state_.request_deletion(m, "silent");
         } else if (!m.up && m.known_type && !m.running_at &&
                    age > c::boot_late * m.type.boot_time + seconds{5}) {
             // Not if it is listed as running: then it is we who don't hear it, as after a failover
             // in a cut, and it counts as silent.
-            request_deletion(m, "never came up");
+            state_.request_deletion(m, "never came up");
         } else if (m.reclaim_at && (now > *m.reclaim_at || m.attempts.empty())) {
-            request_deletion(m, "taken back");
+            state_.request_deletion(m, "taken back");
         } else if (m.outbound_partition_since &&
                    now - *m.outbound_partition_since >
                        c::outbound_partition_leases * settings_.lease_duration) {
             // Whatever was there has lost its lease; what an earlier leader sent is proven gone
             // only by this, since the machine never shows our token.
-            request_deletion(m, "does not hear us");
+            state_.request_deletion(m, "does not hear us");
         } else if (m.quarantined && m.attempts.empty()) {
-            request_deletion(m, "quarantined");
+            state_.request_deletion(m, "quarantined");
         } else if (m.up && m.speed_samples >= c::slow_samples && m.speed < c::slow_machine &&
                    m.attempts.empty()) {
-            request_deletion(m, "slow");
+            state_.request_deletion(m, "slow");
         }
     }
 }
@@ -731,9 +713,9 @@
         review_failures();
         check_machines(now);
     }
-    if ((dirty_ && elapsed(last_plan_, c::plan_gap, now)) ||
+    if ((state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now)) ||
         elapsed(last_plan_, c::plan_at_least, now)) {
-        dirty_ = false;
+        state_.clear_planning_request();
         last_plan_ = now;
         plan_bids(now);
     }
--- a/src/control/scheduler_records.cpp
+++ b/src/control/scheduler_records.cpp
@@ -19,7 +19,7 @@
     wire::ended_record e;
     e.state = j.cancelled ? job_state::cancelled : job_state::done;
     e.done = j.done_seen;
-    e.at = wall_clock_.to_wall(now); // from then on those that wait for it are ready
+    e.at = state_.term().clock.to_wall(now); // from then on those that wait for it are ready
     w.ops.push_back({ended_key(w.job), wire::encode_ended(e), 0});
     return w;
 }
@@ -34,7 +34,7 @@
         while (!waiting.empty()) {
             auto &name = open_segment_[kind];
             if (name.empty())
-                name = fmt::format("{}-{}", first_token_, ++segment_counter_);
+                name = fmt::format("{}-{}", state_.term().first_token, ++segment_counter_);
             auto &seg = segments_[name];
             if (seg.busy)
                 break; // the next write takes all that gathers meanwhile
@@ -43,7 +43,7 @@
             if (kind == 0 && now < next_placement_)
                 break;
             std::erase_if(seg.tasks, [&](auto &t) {
-                return !attempt_of({t.job, t.index}, t.attempt);
+                return !state_.find_attempt({t.job, t.index}, t.attempt);
             });
             seg.bytes = 2;
             for (auto &t : seg.tasks)
@@ -56,7 +56,7 @@
             bool full = false;
             while (!waiting.empty()) {
                 auto ref = waiting.front();
-                auto *j = job_of(ref.job);
+                auto *j = state_.find_job(ref.job);
                 auto i = j ? j->live.find(ref.index) : decltype(j->live.end()){};
                 if (!j || j->over() || i == j->live.end() ||
                     i->second.phase != attempt_phase::committing) {
@@ -64,7 +64,7 @@
                     continue;
                 }
                 if (!j->ready) { // never queued, so never here; checked again before it is durable
-                    release_attempt(*j, ref.index, true);
+                    state_.release_attempt(*j, ref.index, true);
                     waiting.pop_front();
                     continue;
                 }
@@ -133,7 +133,7 @@
         w.rental_request = name;
         if (!round.written) {
             wire::rental_record r;
-            r.at = wall_clock_.to_wall(list.front()->asked_at);
+            r.at = state_.term().clock.to_wall(list.front()->asked_at);
             for (auto *s : list)
                 r.requests.push_back(s->what);
             w.ops.push_back({rental_key(name), wire::encode_rental_record(r), 0});
@@ -141,8 +141,8 @@
             bool open = false;
             for (auto *s : list) {
                 std::erase_if(s->machines, [&](auto &n) {
-                    auto m = machines_.find(n);
-                    return m == machines_.end() || m->second.listed_at;
+                    auto m = state_.machines().find(n);
+                    return m == state_.machines().end() || m->second.listed_at;
                 });
                 open = open || !s->answered || !s->machines.empty();
             }
@@ -166,7 +166,9 @@
             ++i;
             continue;
         }
-        std::erase_if(seg.tasks, [&](auto &t) { return !attempt_of({t.job, t.index}, t.attempt); });
+        std::erase_if(seg.tasks, [&](auto &t) {
+            return !state_.find_attempt({t.job, t.index}, t.attempt);
+        });
         if (!seg.tasks.empty()) {
             ++i;
             continue;
@@ -176,7 +178,7 @@
     }
     for (auto i = done_records_.begin(); i != done_records_.end();) {
         auto &r = i->second;
-        std::erase_if(r.parts, [&](auto &p) { return !job_of(p.first); });
+        std::erase_if(r.parts, [&](auto &p) { return !state_.find_job(p.first); });
         if (r.busy || r.open || !r.parts.empty()) {
             ++i;
             continue;
@@ -197,7 +199,7 @@
         return open_done_;
     if (open != done_records_.end())
         open->second.open = false;
-    open_done_ = fmt::format("{}-{}", first_token_, ++done_counter_);
+    open_done_ = fmt::format("{}-{}", state_.term().first_token, ++done_counter_);
     done_records_.emplace(open_done_, done_record{});
     return open_done_;
 }
@@ -239,7 +241,7 @@
         w.segment = name;
         std::vector<wire::done_part> parts;
         for (auto i = r.parts.begin(); i != r.parts.end();) {
-            auto *j = job_of(i->first);
+            auto *j = state_.find_job(i->first);
             if (!j || j->over()) {
                 i = r.parts.erase(i); // its ended record tells all
                 continue;
@@ -272,7 +274,7 @@
     auto most = most_record_bytes();
     std::vector<std::string> jobs;
     std::size_t bytes = wire::suspects_bytes("");
-    for (auto &id : failures_.suspects()) {
+    for (auto &id : state_.failures().suspects()) {
         bytes += wire::suspects_bytes(id);
         if (bytes > most)
             break;
@@ -301,7 +303,7 @@
     if (!ok)
         return;
     for (auto &t : w.done) {
-        auto *j = job_of(t.job);
+        auto *j = state_.find_job(t.job);
         if (!j)
             continue;
         if (!j->done_durable[t.index]) {
@@ -310,7 +312,7 @@
         }
         if (auto i = j->live.find(t.index);
             i != j->live.end() && i->second.phase == attempt_phase::exited)
-            release_attempt(*j, t.index, false);
+            state_.release_attempt(*j, t.index, false);
     }
 }
 
@@ -320,7 +322,7 @@
         return out;
     write_placements(out, now);
     sweep_segments(now);
-    for (auto &[id, j] : jobs_) {
+    for (auto &[id, j] : state_.jobs()) {
         if (j.end_writing || j.ended || now < j.write_after)
             continue;
         bool complete =
@@ -350,26 +352,26 @@
     if (auto seg = segments_.find(w.segment); seg != segments_.end())
         seg->second.busy = false;
     for (auto &[ref, number] : w.attempts) {
-        auto *j = job_of(ref.job);
+        auto *j = state_.find_job(ref.job);
         if (!j)
             continue;
         if (!ok)
             j->write_after = now + c::state_retry; // by then the watch tells what changed
-        auto *a = attempt_of(ref, number);
+        auto *a = state_.find_attempt(ref, number);
         if (!a || a->phase != attempt_phase::committing)
             continue;
-        auto m = machines_.find(a->machine);
-        if (!ok || j->over() || m == machines_.end() || !m->second.usable()) {
-            release_attempt(*j, ref.index, true);
+        auto m = state_.machines().find(a->machine);
+        if (!ok || j->over() || m == state_.machines().end() || !m->second.usable()) {
+            state_.release_attempt(*j, ref.index, true);
             continue;
         }
         a->phase = attempt_phase::committed;
-        urgent_.insert(a->machine);
+        state_.mark_urgent(a->machine);
     }
 }
 
 void scheduler::on_written(const durable_write &w, bool ok, std::uint64_t, time_point now) {
-    dirty_ = true;
+    state_.request_planning();
     if (w.kind == write_kind::rental_request) {
         auto i = rental_rounds_.find(w.rental_request);
         if (i == rental_rounds_.end())
@@ -405,7 +407,7 @@
         on_done_written(w, ok, now);
         return;
     }
-    auto *j = job_of(w.job);
+    auto *j = state_.find_job(w.job);
     if (!j)
         return;
     switch (w.kind) {
@@ -417,8 +419,8 @@
             break;
         }
         while (!j->live.empty())
-            release_attempt(*j, j->live.begin()->first, false);
-        jobs_.erase(w.job);
+            state_.release_attempt(*j, j->live.begin()->first, false);
+        state_.jobs().erase(w.job);
         graph_.remove(w.job);
         note_own_end(w, now);
         break;
--- /dev/null
+++ b/src/model/cluster_state.cpp
@@ -0,0 +1,285 @@
+#include "model/cluster_state.hpp"
+#include "constants.hpp"
+#include <algorithm>
+#include <spdlog/spdlog.h>
+
+namespace spindlecroft::model {
+
+using catalog::attempt_phase;
+
+namespace {
+
+// An attempt number is the fencing token of its leader and a counter in the lower bits, so that no
+// two leaders use the same one.
+constexpr unsigned attempt_counter_bits = 20;
+
+template <class Map>
+auto find_in(Map &map, const std::string &key) -> decltype(&map.begin()->second) {
+    auto found = map.find(key);
+    return found == map.end() ? nullptr : &found->second;
+}
+
+} // namespace
+
+cluster_state::cluster_state(const settings::settings &settings, std::vector<machine_type> types)
+    : settings_(settings), types_(std::move(types)) {}
+
+void cluster_state::raise_token(std::uint64_t token) {
+    term_.token = std::max(term_.token, token);
+}
+
+// --- look-ups ---
+
+cluster_state::job *cluster_state::find_job(const std::string &id) {
+    return find_in(jobs_, id);
+}
+
+const cluster_state::job *cluster_state::find_job(const std::string &id) const {
+    return find_in(jobs_, id);
+}
+
+cluster_state::machine *cluster_state::find_machine(const std::string &name) {
+    return find_in(machines_, name);
+}
+
+const cluster_state::machine *cluster_state::find_machine(const std::string &name) const {
+    return find_in(machines_, name);
+}
+
+cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task) {
+    auto *of = find_job(task.job);
+    if (!of)
+        return nullptr;
+    auto found = of->live.find(task.index);
+    return found == of->live.end() ? nullptr : &found->second;
+}
+
+const cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task) const {
+    const auto *of = find_job(task.job);
+    if (!of)
+        return nullptr;
+    auto found = of->live.find(task.index);
+    return found == of->live.end() ? nullptr : &found->second;
+}
+
+cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task,
+                                                    std::uint64_t number) {
+    auto *found = find_attempt(task);
+    return found && found->number == number ? found : nullptr;
+}
+
+const machine_type *cluster_state::find_type(const std::string &name) const {
+    auto found = std::find_if(types_.begin(), types_.end(),
+                              [&](const machine_type &type) { return type.name == name; });
+    return found == types_.end() ? nullptr : &*found;
+}
+
+// --- jobs ---
+
+cluster_state::job &cluster_state::add_job(const std::string &id, job added) {
+    added.image = image_number(added.spec.image);
+    return jobs_[id] = std::move(added);
+}
+
+void cluster_state::note_workload(const job_spec &spec, time_point now) {
+    if (spec.shape == job_shape::array)
+        latest_array_ = spec;
+    else
+        recent_services_[spec.job_class] = {spec, now};
+}
+
+seconds cluster_state::expected_run_time(const job &of) const {
+    seconds prior = estimates_.expected_run_time(of.spec);
+    return (prior + of.took_sum) / (1 + of.took_count);
+}
+
+std::uint32_t cluster_state::image_number(const std::string &image) {
+    auto next = static_cast<std::uint32_t>(image_numbers_.size());
+    return image_numbers_.emplace(image, next).first->second;
+}
+
+// --- machines ---
+
+cluster_state::machine &cluster_state::ensure_machine(const std::string &name, time_point now) {
+    auto [found, fresh] = machines_.try_emplace(name);
+    auto &made = found->second;
+    if (!fresh)
+        return made;
+    made.name = name;
+    made.rented_at = made.known_at = now;
+    made.idle_since = now;
+    // Whoever answered it before us, did so before our authority began.
+    made.lease_bound = std::max(term_.began, now) +
+                       settings_.lease_duration * (1 + constants::clock_drift) +
+                       constants::lease_slack;
+    request_planning();
+    return made;
+}
+
+std::size_t cluster_state::class_number(const std::string &type, const std::string &zone,
+                                        bool spot) {
+    auto found = std::find_if(
+        machine_classes_.begin(), machine_classes_.end(), [&](const machine_class &known) {
+            return known.type == type && known.zone == zone && known.spot == spot;
+        });
+    auto number = static_cast<std::size_t>(found - machine_classes_.begin());
+    if (found == machine_classes_.end())
+        machine_classes_.push_back({type, zone, spot});
+    return number;
+}
+
+void cluster_state::describe_machine(machine &which, const std::string &type,
+                                     const std::string &zone, bool spot,
+                                     const std::string &address) {
+    if (!address.empty() && which.address != address)
+        which.address = address;
+    bool unchanged =
+        which.known_type && which.type.name == type && which.zone == zone && which.spot == spot;
+    if (unchanged)
+        return; // as in nearly every heartbeat
+    if (const auto *known = find_type(type)) {
+        which.type = *known;
+        which.known_type = true;
+    }
+    which.zone = zone;
+    which.spot = spot;
+    which.place = class_number(type, zone, spot);
+    which.touch();
+}
+
+void cluster_state::request_deletion(machine &which, const char *reason) {
+    if (which.deleting)
+        return;
+    spdlog::info("{} ({} {} {}): to be deleted, {}", which.name, which.type.name, which.zone,
+                 which.spot ? "spot" : "ordinary", reason);
+    which.deleting = true;
+    withdraw_unstarted(which);
+}
+
+void cluster_state::remove_machine(const std::string &name, time_point now) {
+    auto *gone = find_machine(name);
+    if (!gone)
+        return;
+    release_attempts(*gone);
+    failures_.forget_machine(name);
+    machines_.erase(name);
+    removed_[name] = now;
+    urgent_.erase(name);
+    request_planning();
+}
+
+void cluster_state::forget_removed(seconds after, time_point now) {
+    std::erase_if(removed_, [&](const auto &removed) { return now - removed.second > after; });
+}
+
+void cluster_state::release_attempts(machine &on) {
+    clear_queue(on);
+    auto tasks = on.attempts;
+    for (const auto &task : tasks) {
+        auto *found = find_attempt(task);
+        if (!found)
+            continue;
+        // That a task is done is a fact, which is being recorded.
+        bool result = found->phase == attempt_phase::exited && found->cause == exit_cause::done;
+        if (!result)
+            release_attempt(*find_job(task.job), task.index, true);
+    }
+}
+
+// --- attempts ---
+
+cluster_state::attempt &cluster_state::add_attempt(job &of, attempt added) {
+    auto index = added.task.index;
+    if (auto *on = find_machine(added.machine)) {
+        on->attempts.insert(added.task);
+        on->touch();
+    }
+    return of.live[index] = std::move(added);
+}
+
+void cluster_state::release_attempt(job &of, std::uint32_t index, bool to_waiting) {
+    auto found = of.live.find(index);
+    if (found == of.live.end())
+        return;
+    auto &released = found->second;
+    if (to_waiting && !of.over())
+        spdlog::debug("{}/{} is no longer on {}", of.spec.id, index, released.machine);
+    if (auto *on = find_machine(released.machine)) {
+        on->attempts.erase(released.task);
+        on->touch();
+    }
+    of.live.erase(found);
+    if (to_waiting)
+        of.push_back(index);
+    request_planning();
+}
+
+void cluster_state::request_stop(attempt &which, seconds grace) {
+    if (which.stop_wanted && grace >= which.grace)
+        return;
+    which.stop_wanted = true;
+    which.grace = grace;
+    mark_urgent(which.machine);
+}
+
+// Guards against tasks that wait for ever on a machine that gets no more work.
+void cluster_state::withdraw_unstarted(machine &from) {
+    clear_queue(from);
+    auto tasks = from.attempts;
+    for (const auto &task : tasks) {
+        auto *found = find_attempt(task);
+        if (found && found->phase == attempt_phase::committed)
+            release_attempt(*find_job(task.job), task.index, true);
+    }
+}
+
+std::uint64_t cluster_state::next_attempt_number() {
+    return (term_.token << attempt_counter_bits) + ++attempt_counter_;
+}
+
+// --- queues ---
+
+void cluster_state::clear_queue(machine &of) {
+    for (const auto &queued : of.queue) {
+        auto *owner = find_job(queued.task.job);
+        if (!owner)
+            continue;
+        owner->queued.erase(queued.task.index);
+        owner->push_back(queued.task.index);
+    }
+    of.queue.clear();
+    of.touch();
+    request_planning();
+}
+
+void cluster_state::remove_from_queue(job &of, std::uint32_t index) {
+    auto found = of.queued.find(index);
+    if (found == of.queued.end())
+        return;
+    if (auto *on = find_machine(found->second)) {
+        catalog::task_ref task{of.spec.id, index};
+        std::erase_if(on->queue, [&](const auto &queued) { return queued.task == task; });
+        on->touch();
+    }
+    of.queued.erase(found);
+}
+
+// --- what is to be done next ---
+
+std::vector<std::string> cluster_state::take_urgent() {
+    std::vector<std::string> out;
+    for (auto name = urgent_.begin(); name != urgent_.end();) {
+        const auto *marked = find_machine(*name);
+        bool reachable = marked && marked->up;
+        if (reachable && marked->commands_open > 0) {
+            ++name; // after the command that is under way
+            continue;
+        }
+        if (reachable)
+            out.push_back(*name);
+        name = urgent_.erase(name);
+    }
+    return out;
+}
+
+} // namespace spindlecroft::model
