--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -4,11 +4,12 @@
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
 #include "common/time.hpp"
-#include "control/bidder.hpp"
 #include "fairness/chain_order.hpp"
 #include "fairness/team_order.hpp"
 #include "fairness/team_queues.hpp"
+#include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
+#include "planning/bidder.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
@@ -24,6 +25,11 @@
 
 namespace spindlecroft::control {
 
+using planning::bid_round;
+using planning::bidder;
+using planning::rental_offer;
+using planning::round_bid;
+
 // Keys in the key-value store.
 std::string active_key(const std::string &job);
 std::string ended_key(const std::string &job);
@@ -205,14 +211,9 @@
     std::optional<round_bid> best_bid(const job_t &j, bid_round &round, time_point now);
     // The places (type, zone, kind) where one more task of the job may be now.
     std::vector<char> places_for(const job_t &j) const;
-    // Tasks of the latest array for which such a replica would take the room.
-    int displaced_slots(const bidder &b, const job_spec &s) const;
     bidder *preempt_for_guarantee(const job_t &j, bid_round &round, time_point now);
     // The machines that may get work now, with what they hold brought up to date.
     std::vector<bidder *> make_bidders(time_point now);
-    // For how long a machine that has not reported can be called booting. After a failover even
-    // machines that are up have not reported yet.
-    seconds boot_age(const machine_t &m, time_point now) const;
     void refresh_bidder(bidder &b, time_point now);
     void rebid(time_point now);
     void plan_fleet(time_point now);
@@ -227,7 +228,6 @@
     void return_idle(time_point now);
     void count_usage();
     void mark_guaranteed();
-    bool type_allowed(const job_spec &s, const std::string &type) const;
     fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
     durable_write end_write(const job_t &j, time_point now);
     // --- dependencies (engine_dependencies.cpp) ---
--- a/src/control/scheduler_dependencies.cpp
+++ b/src/control/scheduler_dependencies.cpp
@@ -72,7 +72,7 @@
     }
     double slowest = 0; // GB/s
     for (auto &t : state_.types())
-        if (type_allowed(s, t.name) && t.fetch_gb_per_s > 0)
+        if (planning::type_allowed(s, t.name) && t.fetch_gb_per_s > 0)
             slowest = slowest > 0 ? std::min(slowest, t.fetch_gb_per_s) : t.fetch_gb_per_s;
     seconds fetch_time{slowest > 0 ? s.image_gb / slowest : 0};
     return c::chain_stage + fetch_time + waves * c::chain_run_margin * state_.expected_run_time(j);
--- a/src/control/scheduler_fleet.cpp
+++ b/src/control/scheduler_fleet.cpp
@@ -21,7 +21,7 @@
                                                       time_point now) const {
     std::optional<rental_offer> best;
     for (auto &t : state_.types()) {
-        if (!type_allowed(s, t.name))
+        if (!planning::type_allowed(s, t.name))
             continue;
         int slots = bidding::room{t.cpus, t.gpus, t.memory_gb}.slots(s);
         if (slots < 1)
@@ -82,7 +82,7 @@
 
 void scheduler::fleet_for_services(std::vector<bidder> &fleet, time_point now) {
     auto fits_on = [&](bidder &b, const job_spec &s) {
-        return (!b.spot || s.spot) && type_allowed(s, b.type->name) &&
+        return (!b.spot || s.spot) && planning::type_allowed(s, b.type->name) &&
                (!s.zone || *s.zone == b.zone) && b.critical.fits(s);
     };
     auto rent_for = [&](const job_spec &s, const std::set<std::string> *zones) {
@@ -153,7 +153,8 @@
                 if (fits_on(b, s) &&
                     (!best || (s.spread && per_zone[b.zone] < per_zone[best->zone]) ||
                      ((!s.spread || per_zone[b.zone] == per_zone[best->zone]) &&
-                      displaced_slots(b, s) < displaced_slots(*best, s))))
+                      planning::displaced_slots(b, s, state_.latest_array()) <
+                          planning::displaced_slots(*best, s, state_.latest_array()))))
                     best = &b;
             if (best) {
                 best->hold(s, seconds{});
@@ -172,7 +173,7 @@
     double spot = 0, ordinary = 0; // the least price of room for one task
     for (auto &t : state_.types()) {
         int slots = bidding::room{t.cpus, t.gpus, t.memory_gb}.slots(s);
-        if (slots < 1 || !type_allowed(s, t.name))
+        if (slots < 1 || !planning::type_allowed(s, t.name))
             continue;
         if (t.spot_price > 0 && (spot <= 0 || t.spot_price / slots < spot))
             spot = t.spot_price / slots;
@@ -242,8 +243,8 @@
         // much as they are dearer.
         double spare_wait = need - slots_for(settings_.ops.drain_target * ordinary_patience(s));
         for (auto &b : fleet)
-            while (need > 0 && type_allowed(s, b.type->name) && (!s.zone || *s.zone == b.zone) &&
-                   (!b.spot || s.spot) && b.whole.fits(s)) {
+            while (need > 0 && planning::type_allowed(s, b.type->name) &&
+                   (!s.zone || *s.zone == b.zone) && (!b.spot || s.spot) && b.whole.fits(s)) {
                 b.whole.take(s);
                 --need;
             }
--- a/src/control/scheduler_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -10,31 +10,6 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-void bidder::hold(const job_spec &s, seconds remaining) {
-    free.take(s);
-    if (s.shape == job_shape::service) {
-        whole.take(s);
-    } else {
-        work += remaining;
-    }
-    if (s.priority == priority_class::critical)
-        critical.take(s);
-    if (s.priority != priority_class::low)
-        above_idle.take(s);
-}
-
-bool bidder::fetch(std::uint32_t image) {
-    if (holds(cached, image) || holds(coming, image))
-        return false;
-    coming.push_back(image);
-    ++fetches;
-    return true;
-}
-
-bool scheduler::type_allowed(const job_spec &s, const std::string &type) const {
-    return !s.types || std::find(s.types->begin(), s.types->end(), type) != s.types->end();
-}
-
 // The job's zone rules, given its other tasks: those presumed anywhere and those queued.
 std::vector<char> scheduler::places_for(const job_t &j) const {
     auto &s = j.spec;
@@ -58,7 +33,8 @@
     }
     std::vector<char> out;
     for (auto &p : state_.machine_classes()) {
-        bool ok = type_allowed(s, p.type) && (!s.zone || *s.zone == p.zone) && (!p.spot || s.spot);
+        bool ok = planning::type_allowed(s, p.type) && (!s.zone || *s.zone == p.zone) &&
+                  (!p.spot || s.spot);
         auto here = in_zone.find(p.zone);
         std::uint32_t known = here == in_zone.end() ? 0 : here->second;
         if (s.same_zone && known != all)
@@ -146,15 +122,6 @@
         }
 }
 
-seconds scheduler::boot_age(const machine_t &m, time_point now) const {
-    seconds age = now - m.rented_at;
-    // Guards against deleting the whole fleet as never up, right after a failover.
-    seconds finding_us = c::silent_heartbeats * settings_.heartbeat_interval + c::silent_margin;
-    if (now - state_.term().began < finding_us)
-        age = std::min(age, m.type.boot_time);
-    return age;
-}
-
 std::vector<bidder *> scheduler::make_bidders(time_point now) {
     std::vector<bidder *> out;
     out.reserve(state_.machines().size());
@@ -165,7 +132,7 @@
             continue;
         seconds boot_time{};
         if (!m.up) {
-            seconds age = boot_age(m, now);
+            seconds age = model::boot_age(m, state_.term(), settings_, now);
             if (age > c::boot_hedge * m.type.boot_time)
                 continue; // late: nothing is promised in its name
             boot_time = std::max(seconds{1}, m.type.boot_time * 1.1 - age);
@@ -181,14 +148,6 @@
     return out;
 }
 
-int scheduler::displaced_slots(const bidder &b, const job_spec &s) const {
-    if (!state_.latest_array())
-        return 0;
-    auto after = b.whole;
-    after.take(s);
-    return b.whole.slots(*state_.latest_array()) - after.slots(*state_.latest_array());
-}
-
 std::optional<round_bid> scheduler::bid_of(const job_t &j, bidder &b,
                                            const std::vector<char> &places, seconds expected,
                                            bool some_failed, time_point now) const {
@@ -228,7 +187,8 @@
         r.finish_time += c::preempt_cost;
     // Between equals, a replica goes where it spoils least room for work that comes and goes.
     if (s.shape == job_shape::service)
-        r.finish_time += c::displaced_slot_cost * displaced_slots(b, s);
+        r.finish_time +=
+            c::displaced_slot_cost * planning::displaced_slots(b, s, state_.latest_array());
     return r;
 }
 
@@ -643,7 +603,7 @@
     };
     std::map<std::string, tally> zones;
     tally all;
-    seconds limit = c::silent_heartbeats * settings_.heartbeat_interval + c::silent_margin;
+    seconds limit = model::silence_limit(settings_);
     auto silent_for = [&](const machine_t &m) {
         // Listed as running without a word to us counts from then. Guards against feeding a machine
         // that reaches no controller while our commands reach it: its lease ends with all we give.
@@ -674,7 +634,7 @@
     for (auto &[name, m] : state_.machines()) {
         if (m.deleting)
             continue;
-        seconds age = boot_age(m, now);
+        seconds age = model::boot_age(m, state_.term(), settings_, now);
         // In a zone that is cut off, tasks go on until their leases end, and the machines are of
         // use again after the cut: deleting them at once would end work for nothing.
         bool doubt = all_doubt || zone_doubt_until_[m.zone] > now;
--- a/src/control/bidder.hpp
+++ b/src/planning/bidder.hpp
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-namespace spindlecroft::control {
+namespace spindlecroft::planning {
 
 struct bidder {
     workers::machine *m = nullptr; // null: rented, not yet named
@@ -37,6 +37,13 @@
     bool fetch(std::uint32_t image); // false: it is there or coming already
 };
 
+// The job may run on machines of this type.
+bool type_allowed(const job_spec &spec, const std::string &type);
+
+// How many tasks like `array` lose their room on the machine if it takes a task of `spec`.
+int displaced_slots(const bidder &machine, const job_spec &spec,
+                    const std::optional<job_spec> &array);
+
 struct round_bid {
     bidder *by = nullptr;
     seconds finish_time{};
@@ -76,4 +83,4 @@
     double price_per_slot = 0;
 };
 
-} // namespace spindlecroft::control
+} // namespace spindlecroft::planning
