--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -21,6 +21,8 @@
 inline constexpr std::size_t txn_bytes =
     std::size_t{48} * 1024; // bytes; 64 KiB less room for conditions
 
+inline constexpr std::size_t line_margin = 1024; // bytes; kept free in a line for its headers
+
 // --- clocks ---
 inline constexpr double clock_drift = 0.0005; // ratio; how far two steady clocks may drift apart
 inline constexpr seconds lease_slack{
--- a/src/control/cloud_duties.cpp
+++ b/src/control/cloud_duties.cpp
@@ -1,6 +1,6 @@
-// Renting, returning and listing machines at the cloud, for a leader.
+#include "control/cloud_duties.hpp"
 #include "constants.hpp"
-#include "control/leadership.hpp"
+#include "wire/codec.hpp"
 
 namespace spindlecroft::control {
 
@@ -8,104 +8,114 @@
 using net::awaitable;
 using net::steady_now;
 
-awaitable<net::reply> controller::cloud_call(std::shared_ptr<leadership> l, std::string method,
-                                             std::string target, std::string body) {
-    while (!cloud_budget_.take(1, store::request_priority::leadership, steady_now()))
-        co_await net::sleep_for(c::budget_poll);
-    // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
-    // more: it would delete machines that the next one uses.
-    if (!may_act(l))
-        co_return net::reply{};
-    net::permission permitted = [this, l] { return may_act(l); };
-    auto r = co_await cloud_.call(std::move(method), std::move(target), std::move(body),
-                                  c::cloud_timeout, false, std::move(permitted));
-    if (r.how == net::outcome::answered && r.status == 429)
-        cloud_budget_.drain();
-    co_return r;
+namespace {
+
+constexpr int malformed_request = 400;
+constexpr int unavailable = 503;
+
+// No machine was rented, and none will be for this request.
+bool refused(const net::reply &reply) {
+    if (reply.how != net::outcome::answered)
+        return false;
+    bool no_capacity =
+        reply.status == unavailable && reply.body.find("capacity") != std::string::npos;
+    return reply.status == malformed_request || no_capacity;
+}
+
+void tell_outcome(scheduler &core, const rental_request &wanted, const net::reply &reply) {
+    try {
+        if (reply.ok())
+            core.on_rented(wanted.request, wire::parse_rented_machines(reply.body), steady_now());
+        else if (refused(reply))
+            core.on_rent_refused(wanted.request, steady_now());
+        else
+            core.on_rent_unsure(wanted.request, steady_now());
+    } catch (const wire::malformed_message &error) {
+        spdlog::warn("renting: {}", error.what());
+        core.on_rent_unsure(wanted.request, steady_now());
+    }
 }
 
-awaitable<void> controller::watch_cloud(std::shared_ptr<leadership> l) {
+} // namespace
+
+awaitable<void> cloud_duties::watch(std::shared_ptr<leadership> by) {
     auto next_types = steady_now() + c::types_refresh;
-    while (may_act(l)) {
+    while (by->may_act()) {
         auto asked = steady_now();
-        std::vector<listed_machine> hosts;
-        std::string after;
-        bool whole = false;
-        while (may_act(l)) {
-            auto r = co_await cloud_call(
-                l, "GET", wire::machine_list_target(after, c::listed_machine_page), "");
-            if (!r.ok())
-                break;
-            try {
-                auto page = wire::parse_machine_list(r.body);
-                hosts.insert(hosts.end(), page.hosts.begin(), page.hosts.end());
-                if (!page.more || page.hosts.empty()) {
-                    whole = true;
-                    break;
-                }
-                after = page.hosts.back().id;
-            } catch (const wire::malformed_message &e) {
-                spdlog::warn("machine list: {}", e.what());
-                break;
-            }
-        }
-        if (whole && may_act(l)) {
-            l->core->on_machine_list(hosts, asked, steady_now());
-            l->wake.notify();
+        auto machines = co_await read_list(by);
+        if (machines && by->may_act()) {
+            by->active_scheduler()->on_machine_list(*machines, asked, steady_now());
+            by->wake.notify();
         }
         if (steady_now() > next_types) {
             next_types = steady_now() + c::types_refresh;
-            auto r = co_await cloud_call(l, "GET", wire::path_machine_types, "");
-            if (r.ok() && may_act(l)) {
-                try {
-                    auto t = wire::parse_machine_types(r.body);
-                    if (!t.empty())
-                        l->core->on_types(std::move(t));
-                } catch (const wire::malformed_message &e) {
-                    spdlog::warn("machine types: {}", e.what());
-                }
-            }
+            co_await refresh_types(by);
         }
         co_await net::sleep_for(c::machine_list_poll);
     }
 }
 
-awaitable<void> controller::rent(std::shared_ptr<leadership> l, rental_request r) {
-    if (!may_act(l))
-        co_return;
-    auto a = co_await cloud_call(l, "POST", wire::path_machines, wire::encode_rental_request(r));
-    if (!may_act(l))
+awaitable<std::optional<std::vector<listed_machine>>>
+cloud_duties::read_list(std::shared_ptr<leadership> by) {
+    std::vector<listed_machine> machines;
+    std::string after;
+    while (by->may_act()) {
+        auto target = wire::machine_list_target(after, c::listed_machine_page);
+        auto reply = co_await cloud_.call(by, "GET", target, "");
+        if (!reply.ok())
+            co_return std::nullopt;
+        try {
+            auto page = wire::parse_machine_list(reply.body);
+            machines.insert(machines.end(), page.hosts.begin(), page.hosts.end());
+            if (!page.more || page.hosts.empty())
+                co_return machines;
+            after = page.hosts.back().id;
+        } catch (const wire::malformed_message &error) {
+            spdlog::warn("machine list: {}", error.what());
+            co_return std::nullopt;
+        }
+    }
+    co_return std::nullopt;
+}
+
+awaitable<void> cloud_duties::refresh_types(std::shared_ptr<leadership> by) {
+    auto reply = co_await cloud_.call(by, "GET", wire::path_machine_types, "");
+    if (!reply.ok() || !by->may_act())
         co_return;
     try {
-        bool refused =
-            a.how == net::outcome::answered &&
-            (a.status == 400 || (a.status == 503 && a.body.find("capacity") != std::string::npos));
-        if (a.ok())
-            l->core->on_rented(r.request, wire::parse_rented_machines(a.body), steady_now());
-        else if (refused)
-            l->core->on_rent_refused(r.request, steady_now());
-        else
-            l->core->on_rent_unsure(r.request, steady_now());
-    } catch (const wire::malformed_message &e) {
-        spdlog::warn("renting: {}", e.what());
-        l->core->on_rent_unsure(r.request, steady_now());
+        auto types = wire::parse_machine_types(reply.body);
+        if (!types.empty())
+            by->active_scheduler()->on_types(std::move(types));
+    } catch (const wire::malformed_message &error) {
+        spdlog::warn("machine types: {}", error.what());
     }
-    l->wake.notify();
 }
 
-awaitable<void> controller::remove(std::shared_ptr<leadership> l, std::vector<std::string> names) {
-    auto a =
-        co_await cloud_call(l, "POST", wire::path_delete_machines, wire::encode_deletion(names));
-    if (l->over || !l->core)
+awaitable<void> cloud_duties::rent(std::shared_ptr<leadership> by, rental_request wanted) {
+    if (!by->may_act())
         co_return;
-    if (a.ok()) {
-        l->core->on_deleted(names, steady_now());
-    } else {
+    auto reply =
+        co_await cloud_.call(by, "POST", wire::path_machines, wire::encode_rental_request(wanted));
+    if (!by->may_act())
+        co_return;
+    tell_outcome(*by->active_scheduler(), wanted, reply);
+    by->wake.notify();
+}
+
+awaitable<void> cloud_duties::delete_machines(std::shared_ptr<leadership> by,
+                                              std::vector<std::string> names) {
+    auto reply =
+        co_await cloud_.call(by, "POST", wire::path_delete_machines, wire::encode_deletion(names));
+    if (!reply.ok())
         co_await net::sleep_for(c::delete_retry);
-        if (!l->over && l->core)
-            l->core->on_delete_failed(names);
-    }
-    l->wake.notify();
+    auto *core = by->scheduler_unless_ended();
+    if (!core)
+        co_return;
+    if (reply.ok())
+        core->on_deleted(names, steady_now());
+    else
+        core->on_delete_failed(names);
+    by->wake.notify();
 }
 
 } // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/failover.hpp
@@ -0,0 +1,56 @@
+// Failover: a new leader reads the stored records and builds its scheduler from them.
+#pragma once
+#include "catalog/job_cache.hpp"
+#include "control/cloud_client.hpp"
+#include "control/leadership.hpp"
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <vector>
+
+namespace spindlecroft::control {
+
+class failover {
+  public:
+    failover(std::shared_ptr<leadership> by, store::key_value_client &store, cloud_client &cloud,
+             catalog::job_cache &jobs, const membership::member &member,
+             const settings::settings &settings)
+        : by_(std::move(by)), store_(store), cloud_(cloud), jobs_(jobs), member_(member),
+          settings_(settings) {}
+    // Reads until everything is read, then activates the leadership's scheduler. False: the
+    // leadership ended before.
+    net::awaitable<bool> run();
+    const std::vector<machine_type> &types() const { return types_; }
+
+  private:
+    struct stored_records {
+        std::optional<wire::range_answer> suspects, placements, done, rentals;
+        [[nodiscard]] bool complete() const { return suspects && placements && done && rentals; }
+    };
+    // The machine types: from the records, or from the cloud the first time.
+    net::awaitable<void> read_types();
+    net::awaitable<void> read_stored_types();
+    net::awaitable<void> read_types_from_cloud();
+    net::awaitable<void> read_records();
+    // The jobs as of now: every change up to this leadership is in the cache after this.
+    net::awaitable<void> read_jobs();
+    void load(scheduler &into, time_point now);
+    void load_records(scheduler &into, time_point now);
+    void store_types();
+
+    std::shared_ptr<leadership> by_;
+    store::key_value_client &store_;
+    cloud_client &cloud_;
+    catalog::job_cache &jobs_;
+    const membership::member &member_;
+    const settings::settings &settings_;
+    std::vector<machine_type> types_;
+    std::uint64_t types_revision_ = 0; // of the stored types; 0: none are stored
+    bool types_unreadable_ = false;
+    stored_records records_;
+};
+
+// What the records say of predecessors that the scheduler knows nothing of.
+void tell_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now);
+
+} // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/job_cancels.cpp
@@ -0,0 +1,69 @@
+#include "control/job_cancels.hpp"
+#include "catalog/cancelled_record.hpp"
+#include "constants.hpp"
+#include "control/answers.hpp"
+
+namespace spindlecroft::control {
+
+namespace c = constants;
+using net::awaitable;
+using net::response;
+using net::steady_now;
+using lookup = job_lookup::outcome;
+
+namespace {
+
+bool is_final(job_state state) {
+    return state == job_state::done || state == job_state::cancelled;
+}
+
+response accepted(const std::string &id, job_state state) {
+    return {200, wire::encode_accepted(id, state), 0, false};
+}
+
+} // namespace
+
+awaitable<response> job_cancels::on_cancel(std::string id) {
+    if (!wire::valid_job_id(id))
+        co_return error(404, "no such job");
+    if (!jobs_.loaded() || writes_.full())
+        co_return unsure("starting");
+    auto limit = steady_now() + c::user_request;
+    while (steady_now() < limit - c::cancel_round) {
+        auto found = co_await queries_.find(id);
+        if (found.how == lookup::unavailable)
+            break;
+        if (found.how == lookup::never_existed)
+            co_return error(404, "no such job");
+        if (is_final(found.status.state))
+            co_return accepted(id, found.status.state);
+        const auto *active = jobs_.active(id);
+        if (!active)
+            continue;
+        auto time_limit = std::max(c::commit_least, limit - steady_now());
+        auto outcome = co_await write_cancel(id, *active, time_limit);
+        if (outcome == store::unit_outcome::committed)
+            co_return accepted(id, job_state::cancelled);
+        if (outcome != store::unit_outcome::conflict)
+            break;
+    }
+    co_return queries_.store_unavailable();
+}
+
+awaitable<std::optional<store::unit_outcome>>
+job_cancels::write_cancel(const std::string &id, const catalog::cached_job &job,
+                          seconds time_limit) {
+    auto record = catalog::cancelled_record(job.record, net::wall_now(), settings_.value_bytes());
+    store::unit change;
+    change.priority = store::request_priority::cancel;
+    change.when = {{active_key(id), job.version}};
+    change.ops = {{active_key(id), wire::encode_job_record(record), 0}};
+    // Durable first, then known to whoever may renew leases, then told: also where the answer from
+    // the store comes after the user has gone.
+    change.noted = [this, id, at = record.cancelled_at](std::uint64_t revision) {
+        on_durable_({id, revision, at});
+    };
+    return writes_.commit(std::move(change), time_limit);
+}
+
+} // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/job_submissions.cpp
@@ -0,0 +1,177 @@
+#include "control/job_submissions.hpp"
+#include "bidding/bid.hpp"
+#include "constants.hpp"
+#include "control/answers.hpp"
+#include "fairness/team_queues.hpp"
+#include "planning/bidder.hpp"
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace spindlecroft::control {
+
+namespace c = constants;
+using net::awaitable;
+using net::response;
+using lookup = job_lookup::outcome;
+
+namespace {
+
+bool has_zone(const machine_type &type, const std::string &zone) {
+    return std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
+}
+
+} // namespace
+
+bool job_submissions::fits_a_machine(const job_spec &spec) const {
+    return std::any_of(types_.get()->begin(), types_.get()->end(), [&](const machine_type &type) {
+        bool allowed =
+            planning::type_allowed(spec, type.name) && (!spec.zone || has_zone(type, *spec.zone));
+        return allowed && bidding::room{type.cpus, type.gpus, type.memory_gb}.fits(spec);
+    });
+}
+
+std::string job_submissions::rejection(const job_spec &spec) const {
+    fairness::team_queues teams(settings_.teams);
+    if (!teams.find(spec.team))
+        return fmt::format("unknown team {}", spec.team);
+    if (!fits_a_machine(spec))
+        return "a task fits no allowed machine type";
+    if (!teams.can_ever_run(spec))
+        return "the job needs more than its team's limit";
+    return "";
+}
+
+bool job_submissions::known(const std::string &id) const {
+    return jobs_.active(id) || jobs_.ended(id);
+}
+
+// What is at hand of a predecessor was true at some time, which is enough: that it was accepted,
+// and that it is done or cancelled, stays true. Only "never accepted" needs a read that began after
+// the request; the query covers active and ended records in an order that a job which ends in
+// between can't slip through.
+awaitable<job_submissions::predecessor> job_submissions::check_predecessor(std::string id) {
+    using standing = predecessor::standing;
+    std::optional<job_state> state;
+    if (auto ended = jobs_.ended(id)) {
+        state = ended->state;
+    } else if (!jobs_.active(id)) {
+        auto found = co_await queries_.find(id);
+        if (found.how == lookup::unavailable)
+            co_return predecessor{standing::unavailable, ""};
+        if (found.how == lookup::never_existed)
+            co_return predecessor{standing::impossible,
+                                  fmt::format("awaits: {} was never accepted", id)};
+        state = found.status.state;
+    }
+    if (const auto *active = jobs_.active(id))
+        co_return check_active(id, *active);
+    if (state == job_state::cancelled)
+        co_return predecessor{standing::cancelled, ""};
+    co_return predecessor{state == job_state::done ? standing::done : standing::pending, ""};
+}
+
+job_submissions::predecessor job_submissions::check_active(const std::string &id,
+                                                           const catalog::cached_job &job) const {
+    using standing = predecessor::standing;
+    if (job.record.spec.shape == job_shape::service)
+        return {standing::impossible, fmt::format("awaits: {} runs until it is cancelled", id)};
+    bool with_predecessor = jobs_.dependencies().of(id) == catalog::standing::cancelled;
+    bool cancelled = job.record.cancelled || with_predecessor;
+    return {cancelled ? standing::cancelled : standing::pending, ""};
+}
+
+awaitable<job_submissions::dependency_check>
+job_submissions::check_predecessors(std::vector<std::string> predecessors) {
+    using standing = predecessor::standing;
+    dependency_check out;
+    for (auto &id : predecessors) {
+        auto checked = co_await check_predecessor(id);
+        switch (checked.how) {
+        case standing::unavailable:
+            out.how = dependency_check::verdict::unavailable;
+            co_return out;
+        case standing::impossible:
+            out.how = dependency_check::verdict::impossible;
+            out.reason = checked.reason;
+            co_return out;
+        case standing::cancelled:
+            out.cancelled = true;
+            break;
+        case standing::pending:
+            out.unfinished.push_back(id);
+            break;
+        case standing::done:
+            break;
+        }
+    }
+    co_return out;
+}
+
+// Done and cancelled are final, so they are settled here for good: a job that waits for nobody has
+// an ordinary record, and one with a cancelled predecessor is recorded as cancelled.
+awaitable<response> job_submissions::on_submit(std::string body) {
+    job_spec spec;
+    try {
+        spec = wire::parse_submission(body);
+    } catch (const wire::malformed_message &malformed) {
+        co_return error(400, malformed.what());
+    }
+    if (!jobs_.loaded() || !types_.get() || writes_.full())
+        co_return unsure("not yet able to decide");
+    auto reason = rejection(spec);
+    wire::job_record record;
+    record.accepted_at = net::wall_now();
+    if (reason.empty() && !known(spec.id)) {
+        auto checked = co_await check_predecessors(spec.predecessors);
+        if (checked.how == dependency_check::verdict::unavailable)
+            co_return queries_.store_unavailable();
+        reason = checked.reason;
+        record.cancelled = checked.cancelled;
+        if (checked.cancelled)
+            record.cancelled_at = record.accepted_at;
+        spec.predecessors.clear();
+        if (!checked.cancelled)
+            spec.predecessors = std::move(checked.unfinished);
+    }
+    record.spec = spec;
+    auto value = wire::encode_job_record(record);
+    if (reason.empty() && value.size() > settings_.value_bytes())
+        reason = fmt::format("awaits, frames: the description takes {} bytes, a record holds {}",
+                             value.size(), settings_.value_bytes());
+    if (known(spec.id) || !reason.empty())
+        co_return co_await answer_known(spec.id, reason);
+    co_return co_await accept(std::move(record), std::move(value));
+}
+
+// Guards against forgotten: a job that was accepted is never refused afterwards.
+awaitable<response> job_submissions::answer_known(std::string id, std::string rejection) {
+    auto found = co_await queries_.find(id);
+    if (found.how == lookup::known)
+        co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
+    if (found.how == lookup::unavailable || rejection.empty())
+        co_return queries_.store_unavailable();
+    co_return error(422, rejection);
+}
+
+awaitable<response> job_submissions::accept(wire::job_record record, std::string value) {
+    auto id = record.spec.id;
+    store::unit change;
+    change.priority = store::request_priority::accept;
+    change.when = {{active_key(id), 0}, {ended_key(id), 0}};
+    change.ops = {{active_key(id), std::move(value), 0}};
+    auto outcome = co_await writes_.commit(std::move(change), c::user_request - c::cancel_round);
+    if (outcome == store::unit_outcome::committed) {
+        auto state = record.cancelled ? job_state::cancelled : job_state::pending;
+        co_return response{201, wire::encode_accepted(id, state), 0, false};
+    }
+    if (outcome == store::unit_outcome::too_large)
+        co_return error(422, "the description is longer than the state service takes");
+    if (outcome == store::unit_outcome::conflict) {
+        auto found = co_await queries_.find(id);
+        if (found.how == lookup::known)
+            co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
+    }
+    co_return queries_.store_unavailable();
+}
+
+} // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/leadership.cpp
@@ -0,0 +1,58 @@
+#include "control/leadership.hpp"
+
+namespace spindlecroft::control {
+
+leadership::leadership(net::asio::io_context &io, store::key_value_client &store,
+                       const settings::settings &settings, membership::member &member)
+    : placements(io, store, settings, "leader"), endings(io, store, settings, "records"), wake(io),
+      member_(member) {
+    for (auto *writer : {&placements, &endings}) {
+        writer->fence = [this]() -> std::optional<txn_condition> {
+            if (!may_act())
+                return std::nullopt;
+            return txn_condition{leader_key, member_.token()};
+        };
+        writer->fence_failed = [this] { member_.want_check(); };
+    }
+}
+
+void leadership::end() {
+    ended_ = true;
+    placements.stop();
+    endings.stop();
+    wake.notify();
+}
+
+void leadership::activate(std::unique_ptr<scheduler> loaded, time_point now) {
+    for (auto &[job, notice] : cancels_)
+        loaded->on_cancel(notice, now);
+    scheduler_ = std::move(loaded);
+}
+
+void leadership::apply_cancel(const cancel_notice &notice) {
+    cancels_[notice.job] = notice;
+    if (!scheduler_)
+        return;
+    scheduler_->on_cancel(notice, net::steady_now());
+    wake.notify();
+}
+
+void leadership::on_job(const std::string &id, const wire::job_record &record,
+                        std::uint64_t revision) {
+    if (!scheduler_)
+        return;
+    auto now = net::steady_now();
+    scheduler_->on_job(id, record, revision, now);
+    auto told = cancels_.find(id);
+    if (told != cancels_.end() && revision >= told->second.revision)
+        cancels_.erase(told);
+    else if (told != cancels_.end())
+        scheduler_->on_cancel(told->second, now);
+    wake.notify();
+}
+
+void leadership::forget_cancels_upto(std::uint64_t revision) {
+    std::erase_if(cancels_, [&](const auto &told) { return told.second.revision <= revision; });
+}
+
+} // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/task_progress.cpp
@@ -0,0 +1,78 @@
+#include "control/task_progress.hpp"
+#include "constants.hpp"
+
+namespace spindlecroft::control {
+
+namespace c = constants;
+using net::awaitable;
+using net::steady_now;
+
+namespace {
+
+// The message holds a number for each job: done tasks in the upper half, running ones in the lower.
+// No job's name has the form of this key.
+constexpr const char *leading_key = ":leading";
+constexpr unsigned done_shift = 32;
+constexpr std::uint64_t running_mask = 0xffffffff;
+
+std::uint64_t pack(std::uint32_t done, std::uint32_t running) {
+    return (static_cast<std::uint64_t>(done) << done_shift) | running;
+}
+
+scheduler::progress unpack(std::uint64_t counts) {
+    return {static_cast<std::uint32_t>(counts >> done_shift),
+            static_cast<std::uint32_t>(counts & running_mask)};
+}
+
+} // namespace
+
+std::optional<scheduler::progress> task_progress::of(const std::string &job) {
+    auto leading = current_();
+    if (leading && leading->active_scheduler())
+        return leading->active_scheduler()->job_progress(job);
+    if (!asking_ && (!asked_at_ || steady_now() - *asked_at_ > c::progress_gap))
+        net::spawn(io_, ask_leader(), "progress");
+    auto found = known_.find(job);
+    return found == known_.end() ? std::nullopt : std::optional(found->second);
+}
+
+wire::peer_message task_progress::answer() const {
+    wire::peer_message out;
+    auto leading = current_();
+    if (!leading || !leading->active_scheduler() || !member_.leading())
+        return out;
+    out.numbers[leading_key] = 1;
+    for (const auto &[id, job] : leading->active_scheduler()->jobs())
+        out.numbers[id] = pack(job.done_count, job.running());
+    return out;
+}
+
+awaitable<void> task_progress::ask_leader() {
+    asking_ = true;
+    auto *leader = member_.peer(member_.leader_hint());
+    if (leader) {
+        wire::peer_message question;
+        question.texts["kind"] = "progress";
+        auto reply = co_await leader->call("POST", "/member", wire::encode_peer(question),
+                                           c::peer_timeout, true);
+        if (reply.ok())
+            take_answer(reply.body);
+    }
+    asked_at_ = steady_now();
+    asking_ = false;
+}
+
+void task_progress::take_answer(const std::string &body) {
+    try {
+        auto answer = wire::parse_peer(body);
+        if (!answer.number(leading_key))
+            return;
+        known_.clear();
+        for (const auto &[id, counts] : answer.numbers)
+            known_[id] = unpack(counts);
+    } catch (const wire::malformed_message &error) {
+        spdlog::warn("progress: {}", error.what());
+    }
+}
+
+} // namespace spindlecroft::control
--- /dev/null
+++ b/src/control/user_writes.cpp
@@ -0,0 +1,38 @@
+#include "control/user_writes.hpp"
+#include <memory>
+#include <utility>
+
+namespace spindlecroft::control {
+
+using net::steady_now;
+
+namespace {
+
+// Shared by the user's coroutine, which may be gone by then, and the committer.
+struct pending_outcome {
+    explicit pending_outcome(net::asio::io_context &io) : arrived(io) {}
+    net::signal arrived;
+    std::optional<store::unit_outcome> outcome;
+};
+
+} // namespace
+
+net::awaitable<std::optional<store::unit_outcome>> user_writes::commit(store::unit change,
+                                                                       seconds time_limit) {
+    auto pending = std::make_shared<pending_outcome>(io_);
+    change.result = [pending, noted = std::move(change.noted)](store::unit_outcome outcome,
+                                                               std::uint64_t revision) {
+        if (noted && outcome == store::unit_outcome::committed)
+            noted(revision);
+        pending->outcome = outcome;
+        pending->arrived.notify();
+    };
+    auto limit = steady_now() + time_limit;
+    change.give_up_at = limit; // its user is told 503 then, and asks again
+    committer_.submit(std::move(change));
+    while (!pending->outcome && steady_now() < limit)
+        co_await pending->arrived.wait_for(limit - steady_now());
+    co_return pending->outcome;
+}
+
+} // namespace spindlecroft::control
