--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -69,24 +69,34 @@
 inline constexpr seconds vote_length{3.0};       // s; length of a vote to a leader
 inline constexpr seconds candidacy{2.0};         // s; length of a vote to a candidate
 inline constexpr seconds candidacy_jitter{0.35}; // s; spreads candidates that saw the same end
+inline constexpr seconds candidacy_yield{0.2}; // s; head start of the candidate that one voted for
+inline constexpr seconds campaign_retry{0.2};  // s; between looks whether one may campaign
+inline constexpr seconds campaign_pause_least{0.1}; // s; after a campaign without a majority
+inline constexpr seconds campaign_pause_most{0.4};
+inline constexpr seconds follow_pause{0.1}; // s; between a leadership and the next look at the key
+inline constexpr seconds leader_poll{0.1};  // s; most time between two looks of a leader
+inline constexpr seconds least_wait{0.01};  // s; least time of a wait for news
 inline constexpr seconds step_down_store_silence{
     4.0}; // s; a leader this long without state steps down to one with it
 inline constexpr seconds served_within{2.5}; // s; a node whose last answer from the key-value store
                                              // is older can't say that it is served
-inline constexpr seconds fresh_word{
-    0.25}; // s; a leader steps down only on word of the key-value store that is no older
+inline constexpr seconds peer_report_fresh{
+    0.25}; // s; a leader steps down only on a report of the key-value store that is no older
+inline constexpr seconds peer_report_valid{3.0}; // s; users are sent elsewhere on one no older
+inline constexpr seconds peer_heartbeat_recent{
+    3.0}; // s; a controller with a heartbeat no older is reached by workers
 inline constexpr std::size_t cancels_kept =
     4000; // cancels at hand for the leader; some minutes of them, about 0.5 MB
 inline constexpr std::size_t cancels_per_answer = 400; // cancels; 50 KiB with the longest ids
-inline constexpr seconds step_down_unheard{
+inline constexpr seconds step_down_heartbeat_silence{
     8.0}; // s; a leader this long without heartbeats steps down to one with them
-inline constexpr seconds step_down_pause{20.0}; // s; it does not stand again for this long
+inline constexpr seconds step_down_pause{20.0}; // s; it is no candidate for this long
 
 inline constexpr seconds authority_margin{0.1}; // s; taken off every vote and lease that we rely on
 
-inline constexpr seconds blind_margin{
+inline constexpr seconds cancel_delivery_margin{
     3.0}; // s; kept back of cancel_s for answers and commands on their way
-inline constexpr seconds blind_least{
+inline constexpr seconds least_cancel_silence{
     4.0}; // s; a leader may be without news of cancels this long at least
 inline constexpr seconds leader_fresh{
     2.0}; // s; a leader reads the jobs' records at least this often
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -133,7 +133,7 @@
     // A node that hears neither it nor any other controller can't tell, and is no better.
     if (membership::better_served_elsewhere(state_.silence(steady_now()),
                                             member_.state_served_elsewhere(),
-                                            member_.alone_for(c::isolated_after)))
+                                            member_.isolated_for(c::isolated_after)))
         return unsure("no state service");
     return {200, "{}", 0, false};
 }
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -25,7 +25,8 @@
             return std::nullopt;
         return txn_condition{leader_key, member_.token()};
     };
-    l->commits.fence_failed = l->records.fence_failed = [this] { member_.want_check(); };
+    l->commits.fence_failed =
+        l->records.fence_failed = [this] { member_.request_leader_key_check(); };
     net::spawn(io_, fail_over(l), "take over");
 }
 
@@ -221,7 +222,7 @@
             if (auto names = core.take_deletions(now); !names.empty())
                 net::spawn(io_, remove(l, std::move(names)), "delete");
             if (core.wants_token_raise(now))
-                member_.want_raise();
+                member_.request_token_raise();
         }
         // Guards against a start that waits for a whole report interval: what became urgent while a
         // command to the same machine is under way goes after it.
--- a/src/membership/cancel_exchange.hpp
+++ b/src/membership/cancel_exchange.hpp
@@ -1,5 +1,5 @@
-// Cancels travel between controllers by name, so that a leader that cannot read the key-value store
-// still obeys those which other controllers confirmed. Pure: no I/O, time comes in.
+// Cancels are passed between controllers by name, so that a leader that cannot read the key-value
+// store still obeys those which other controllers confirmed. Pure: no I/O, time comes in.
 //
 // Each controller keeps a log of the cancels that it knows to be durable: those it confirms itself,
 // entered after the key-value store took them and before the user is told, and those it learns from
@@ -26,6 +26,7 @@
     bool operator==(const cancel_question &) const = default;
 };
 
+// What another controller answers.
 struct cancel_answer {
     std::string incarnation;
     std::uint64_t after = 0;    // as in the question; 0 if that was of another run
@@ -38,16 +39,17 @@
     std::vector<cancel_notice> entries;
 };
 
+// The cancels that this controller knows to be durable, for others to ask for.
 class cancel_log {
   public:
     // most: entries kept; per_answer: entries in one answer.
     cancel_log(std::string incarnation, std::size_t most, std::size_t per_answer);
     // A cancel that is durable. Knowing it already changes nothing.
-    void note(const cancel_notice &n);
-    cancel_answer answer(const cancel_question &q) const;
+    void note(const cancel_notice &notice);
+    [[nodiscard]] cancel_answer answer(const cancel_question &question) const;
     // Whoever leads has read the key-value store up to here: older entries are of no more use.
     void forget_upto(std::uint64_t revision);
-    std::size_t size() const { return entries_.size(); }
+    [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
   private:
     void drop_oldest();
@@ -56,27 +58,28 @@
         cancel_notice what;
     };
     std::string incarnation_;
-    std::size_t most_, per_answer_;
+    std::size_t most_;
+    std::size_t per_answer_;
     std::deque<entry> entries_;                            // by number, without holes
     std::unordered_map<std::string, std::uint64_t> known_; // revision, of jobs in entries_
     std::uint64_t newest_ = 0;
     std::uint64_t dropped_revision_ = 0; // the largest of an entry that is no longer kept
 };
 
-// What the leader knows of another controller's cancels.
+// What the leader knows of the cancels of one other controller.
 class cancel_reader {
   public:
-    cancel_question question(std::uint64_t revision) const {
+    [[nodiscard]] cancel_question question(std::uint64_t revision) const {
         return {incarnation_, after_, revision};
     }
     // Entries to act on. Throws wire::malformed_message if the answer contradicts the question or
     // itself: it then counts as not heard, and what was known stays.
-    std::vector<cancel_notice> take(const cancel_question &q, const cancel_answer &a,
+    std::vector<cancel_notice> take(const cancel_question &question, const cancel_answer &answer,
                                     time_point sent_at);
     // No cancel that this controller told a user of before then is unknown.
-    time_point known_until() const { return known_until_; }
+    [[nodiscard]] time_point known_until() const { return known_until_; }
     // Nor one that was durable before then, whoever told of it.
-    time_point durable_known_at() const { return durable_known_at_; }
+    [[nodiscard]] time_point durable_known_at() const { return durable_known_at_; }
 
   private:
     std::string incarnation_;
@@ -88,13 +91,13 @@
 
 // The time up to which no controller can have told a user of a cancel that is not known here, when
 // all that was durable at fresh_at is known. readers: of all other controllers.
-time_point cancels_known_until(time_point now, time_point fresh_at,
-                               const std::vector<const cancel_reader *> &readers);
+[[nodiscard]] time_point cancels_known_until(time_point now, time_point fresh_at,
+                                             const std::vector<const cancel_reader *> &readers);
 
 // Whether a worker's lease may be renewed although cancels may have been accepted since
-// known_until: its tasks must be gone cancel_deadline after such a cancel, even if no word reaches
-// the worker any more.
-bool may_renew(time_point now, time_point known_until, seconds lease_duration,
-               seconds cancel_deadline);
+// known_until: its tasks must be gone cancel_deadline after such a cancel, even if no message
+// reaches the worker any more.
+[[nodiscard]] bool may_renew(time_point now, time_point known_until, seconds lease_duration,
+                             seconds cancel_deadline);
 
 } // namespace spindlecroft::membership
--- a/src/membership/lease_votes.cpp
+++ b/src/membership/lease_votes.cpp
@@ -28,8 +28,8 @@
 authority::authority(std::string self, std::size_t controllers)
     : self_(std::move(self)), controllers_(controllers) {}
 
-// Both clocks may drift, and timers fire late; what others promised is counted shorter than they
-// keep it.
+// Both clocks may drift, and timers fire late; the votes of others are counted
+// shorter than they keep them.
 static time_point safe_end(time_point sent_at, seconds length) {
     return sent_at + length * (1 - 2 * c::clock_drift) - c::authority_margin;
 }
@@ -61,15 +61,15 @@
     for (auto &[by, until] : votes_)
         ends.push_back(until);
     std::sort(ends.rbegin(), ends.rend());
-    std::size_t need = controllers_ / 2 + 1;
-    auto until = now - seconds{1};
-    if (ends.size() >= need)
-        until = std::max(until, ends[need - 1]);
+    std::size_t quorum = controllers_ / 2 + 1;
+    auto until = now - seconds{1}; // in the past: not valid
+    if (ends.size() >= quorum)
+        until = std::max(until, ends[quorum - 1]);
     return std::max(until, lease_until_.value_or(until));
 }
 
-bool better_served_elsewhere(seconds store_silence, bool state_served_elsewhere, bool alone) {
-    return store_silence > c::isolated_after && (state_served_elsewhere || alone);
+bool better_served_elsewhere(seconds store_silence, bool store_served_elsewhere, bool isolated) {
+    return store_silence > c::isolated_after && (store_served_elsewhere || isolated);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/lease_votes.hpp
+++ b/src/membership/lease_votes.hpp
@@ -13,18 +13,21 @@
 
 namespace spindlecroft::membership {
 
-// One controller's own votes to others (and to itself).
+// The vote that one controller gives to another's candidacy, or to its own.
 class vote_ledger {
   public:
-    // A restarted controller doesn't remember what it promised, so it votes nothing until
-    // every earlier vote must have ended.
+    // A restarted controller doesn't remember its votes, so it gives none until every earlier one
+    // must have ended.
     vote_ledger(time_point started_at, seconds blackout);
-    // Promises to support nobody but `to` until now + length.
+    // Votes for `to`, and for nobody else, until now + length. false: the vote is another's.
     bool grant(const std::string &to, seconds length, time_point now);
+    // Takes the vote back if it is given to `to`; a late release of another frees nothing.
     void release(const std::string &to);
-    bool in_blackout(time_point now) const { return now < blackout_until_; }
-    // Whom the live vote is given to; empty: nobody.
-    std::string holder(time_point now) const { return now < until_ ? holder_ : std::string(); }
+    [[nodiscard]] bool in_blackout(time_point now) const { return now < blackout_until_; }
+    // The candidacy that the live vote is given to; empty: none.
+    [[nodiscard]] std::string holder(time_point now) const {
+        return now < until_ ? holder_ : std::string();
+    }
 
   private:
     time_point blackout_until_;
@@ -41,21 +44,23 @@
     void lease_renewed(time_point sent_at, seconds length);
     void lease_ended() { lease_until_.reset(); }
     void clear();
-    bool majority(time_point now) const;
-    bool lease_live(time_point now) const { return now < lease_until_; }
-    bool valid(time_point now) const { return lease_live(now) || majority(now); }
+    // Live votes of more than half of the controllers.
+    [[nodiscard]] bool majority(time_point now) const;
+    [[nodiscard]] bool lease_live(time_point now) const { return now < lease_until_; }
+    [[nodiscard]] bool valid(time_point now) const { return lease_live(now) || majority(now); }
     // Until when it surely stays valid without news.
-    time_point valid_until(time_point now) const;
+    [[nodiscard]] time_point valid_until(time_point now) const;
 
   private:
     std::string self_;
     std::size_t controllers_;
-    std::map<std::string, time_point> votes_; // their ends
+    std::map<std::string, time_point> votes_; // by controller, when they end
     std::optional<time_point> lease_until_;
 };
 
 // Whether a node should send users elsewhere: it is without the key-value store while another has
 // it, or hears nobody at all and so can't tell. In an outage for all, everybody stays.
-bool better_served_elsewhere(seconds store_silence, bool state_served_elsewhere, bool alone);
+[[nodiscard]] bool better_served_elsewhere(seconds store_silence, bool store_served_elsewhere,
+                                           bool isolated);
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,49 +1,53 @@
-// This controller's part in choosing a leader: votes, the leader key, and standing for it.
+// This controller as a member of the cluster of controllers: it sends and receives what the
+// election, the leader key and the exchange of cancels ask for. What to do is decided there.
 #pragma once
 #include "common/time.hpp"
 #include "membership/cancel_exchange.hpp"
-#include "membership/lease_votes.hpp"
+#include "membership/election.hpp"
+#include "membership/leader_key.hpp"
+#include "membership/peer_messages.hpp"
 #include "net/http.hpp"
 #include "settings/settings.hpp"
 #include "store/key_value_client.hpp"
 #include <boost/random/mersenne_twister.hpp>
 #include <functional>
+#include <memory>
 
 namespace spindlecroft::membership {
 
 class member {
   public:
-    member(net::asio::io_context &io, const settings::settings &s, store::key_value_client &state);
+    member(net::asio::io_context &io, const settings::settings &settings,
+           store::key_value_client &store);
 
-    // The long-lived duty: follows the leader key, stands when it is free, leads while entitled.
+    // Runs until stop(): follows the leader key, campaigns when it is free, leads while entitled.
     net::awaitable<void> run();
     void stop();
 
-    // Checked right before every answer and order.
-    bool leading() const;
-    std::uint64_t token() const { return token_; }
-    // Whom heartbeats should go to, as far as known; empty: unknown.
-    std::string leader_hint() const;
-    void step_down(const char *why);
-    // Raises the token within this leadership.
-    void want_raise() { raise_wanted_ = true; }
+    // Whether this controller may act as the leader. Checked right before every answer and command.
+    [[nodiscard]] bool leading() const;
+    // The fencing token of this leadership, or of the last one.
+    [[nodiscard]] std::uint64_t token() const { return election_.token(); }
+    // The node that heartbeats should go to, as far as known; empty: unknown.
+    [[nodiscard]] std::string leader_hint() const;
+    void step_down(const char *reason);
+    // Raises the fencing token within this leadership.
+    void request_token_raise() { election_.request_token_raise(); }
     // The leader key has another version than our token: it is read again.
-    void want_check() {
-        check_wanted_ = true;
-        wake_.notify();
-    }
+    void request_leader_key_check();
 
-    // A message from another controller.
-    std::string on_message(const std::string &body);
+    // Answers a message from another controller. Throws wire::malformed_message.
+    [[nodiscard]] std::string on_message(const std::string &body);
     // Another controller said of late that the key-value store answers it.
-    bool state_served_elsewhere() const;
+    [[nodiscard]] bool state_served_elsewhere() const;
     // No other controller was heard from for so long, though there are others.
-    bool alone_for(seconds length) const;
+    [[nodiscard]] bool isolated_for(seconds length) const;
     // A cancel is durable; noted before any user is told.
-    void note_cancel(const cancel_notice &n) { cancels_.note(n); }
+    void note_cancel(const cancel_notice &notice) { cancels_.note(notice); }
     // The time up to which no controller can have told a user of a cancel that is not known here.
-    time_point cancels_known_until() const;
-    void note_heartbeat() { last_heartbeat_ = net::steady_now(); }
+    [[nodiscard]] time_point cancels_known_until() const;
+    // A worker's heartbeat arrived.
+    void note_heartbeat() { election_.on_heartbeat(net::steady_now()); }
 
     // What this controller has read of the jobs' records.
     struct records_view {
@@ -58,54 +62,56 @@
     std::function<void()> on_elected; // the token is set
     std::function<void()> on_deposed;
     std::function<void(std::uint64_t)> on_token;
-    // The other controllers, for other exchanges.
+    // The client of another controller, for other exchanges; null: there is none of that name.
     net::client *peer(const std::string &name);
 
   private:
-    struct peer_state {
+    // Another controller.
+    struct peer_link {
         std::string name;
         std::unique_ptr<net::client> client;
-        bool state_ok = false;
-        std::optional<seconds> heartbeat_age; // since a worker last reported there
-        std::optional<time_point> heard_at;
         cancel_reader cancels;
-        bool busy = false;
-        std::string complaint; // the last one that was logged
+        bool asking = false;        // a request to it is under way
+        std::string last_complaint; // guards against one log line a round
     };
+
+    // --- member.cpp: the stages of an election ---
     net::awaitable<void> follow();
+    net::awaitable<bool> wait_before_campaign();
     net::awaitable<void> campaign();
+    net::awaitable<bool> gather_votes();
+    net::awaitable<std::optional<acquired_leader_key>> acquire_leader_key();
+    void abandon_campaign();
     net::awaitable<void> lead();
-    net::awaitable<void> ask(peer_state &p, seconds length, bool candidate);
-    net::awaitable<void> release_all();
+    [[nodiscard]] bool do_leader_duties(time_point now);
+    void close_leadership();
     net::awaitable<void> renew_lease();
-    net::awaitable<void> raise();
-    net::awaitable<void> check_key();
+    net::awaitable<void> raise_token();
+    net::awaitable<void> check_leader_key();
     void take_token(std::uint64_t version);
-    bool better_elsewhere(time_point now);
-    void answer_cancels(const wire::peer_message &question, wire::peer_message &out,
-                        time_point now);
-    void take_cancels(peer_state &p, const cancel_question &q, const wire::peer_message &answer,
-                      time_point sent);
+
+    // --- member_messages.cpp: messages between controllers ---
+    void ask_all(requester_role role, seconds vote_length);
+    net::awaitable<void> ask(peer_link &link, requester_role role, seconds vote_length);
+    [[nodiscard]] peer_request vote_request(const peer_link &link, requester_role role,
+                                            seconds vote_length) const;
+    void take_answer(peer_link &link, const peer_request &request, const std::string &body,
+                     time_point sent_at);
+    void take_cancels(peer_link &link, const cancel_question &question, const cancel_answer &answer,
+                      time_point sent_at);
+    [[nodiscard]] cancel_answer answer_cancels(const cancel_question &question, time_point now);
+    void release_votes();
 
     net::asio::io_context &io_;
     const settings::settings &settings_;
-    store::key_value_client &state_;
+    store::key_value_client &store_;
     boost::random::mt19937 random_;
-    std::string incarnation_; // this run of this controller
-    std::string candidacy_;   // this candidacy of this run, and the leadership that follows
-    std::uint64_t campaigns_ = 0;
-    vote_ledger votes_given_;
-    authority authority_;
-    std::vector<std::unique_ptr<peer_state>> peers_;
-    bool leader_ = false, stopping_ = false, stepped_down_ = false, raise_wanted_ = false;
-    bool check_wanted_ = false;
-    bool renewing_ = false, raising_ = false;
-    std::uint64_t token_ = 0, lease_ = 0, raises_ = 0;
-    std::string key_holder_; // node named by the leader key, as last read
-    std::string hint_;       // node that asks for votes as leader
-    std::optional<time_point> hint_at_;
-    time_point no_campaign_until_{};
-    std::optional<time_point> last_heartbeat_;
+    std::string incarnation_; // names this run of this controller
+    election election_;
+    leader_key leader_key_;
+    std::vector<std::unique_ptr<peer_link>> peers_;
+    bool stopping_ = false;
+    bool renewing_lease_ = false;
     cancel_log cancels_;
     net::signal wake_;
 };
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -165,12 +165,12 @@
     ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
     auto first = m.member.token();
     m.state.next_commits = {fate::held};
-    m.member.want_raise();
+    m.member.request_token_raise();
     ASSERT_TRUE(m.until([&] { return m.state.commits >= 2; }));
     m.until([] { return false; }, 300ms); // the raise's own read finds nothing new
     EXPECT_EQ(m.member.token(), first);
     m.state.release_held();
-    m.member.want_check(); // as the committer does when the fence fails
+    m.member.request_leader_key_check(); // as the committer does when the fence fails
     ASSERT_TRUE(m.until([&] { return m.member.token() > first; }, 3s));
     EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
     EXPECT_EQ(m.told, m.member.token());
@@ -182,7 +182,7 @@
     ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
     m.state.leases[99] = true;
     m.state.apply({}, {{"leader", R"({"node":"n1","incarnation":"x","raise":0})", 99}});
-    m.member.want_check();
+    m.member.request_leader_key_check();
     EXPECT_TRUE(m.until([&] { return m.deposed == 1; }, 3s));
     EXPECT_FALSE(m.member.leading());
 }
