--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -108,7 +108,7 @@
     if (auto names = core.take_deletions(now); !names.empty())
         net::spawn(with_.io, with_.cloud.delete_machines(by_, std::move(names)), "delete");
     if (core.wants_token_raise(now))
-        with_.member.want_raise();
+        with_.member.request_token_raise();
 }
 
 void control_loop::log_summary(time_point now) {
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -12,7 +12,7 @@
                 return std::nullopt;
             return txn_condition{leader_key, member_.token()};
         };
-        writer->fence_failed = [this] { member_.want_check(); };
+        writer->fence_failed = [this] { member_.request_leader_key_check(); };
     }
 }
 
