--- /dev/null
+++ b/src/wire/cloud.hpp
@@ -0,0 +1,47 @@
+// Messages between the cloud and us: machine types, rentals, deletions, the list of machines.
+//
+//   on the wire       here
+//   frames, frame     machine types, machine type
+//   cores, memGb      cpus, memory
+//   localGb           size of the image cache
+//   pullGbPerS        rate at which images are fetched
+//   hourly            price of an ordinary machine
+//   marketPrice       price of a spot machine
+//   startupS          boot time
+//   crofts, croft     zones, zone
+//   hire              name of a rental request
+//   loaners           spot machine
+//   spindles          machines; uid is a machine's id, stage its state
+//   heldS             age
+#pragma once
+#include "wire/malformed_message.hpp"
+#include "wire/types.hpp"
+#include <string>
+#include <vector>
+
+namespace spindlecroft::wire {
+
+inline constexpr const char *path_machine_types = "/machine_types";
+inline constexpr const char *path_machines = "/hosts";
+inline constexpr const char *path_delete_machines = "/hosts/delete";
+
+/// Throws malformed_message, as do the other parsers.
+[[nodiscard]] std::vector<machine_type> parse_machine_types(const std::string &body);
+/// The types as we keep them in the key-value store: what parse_machine_types reads.
+[[nodiscard]] std::string encode_machine_types(const std::vector<machine_type> &types);
+
+[[nodiscard]] std::string encode_rental_request(const rental_request &request);
+/// The ids of the machines that a rental request got.
+[[nodiscard]] std::vector<std::string> parse_rented_machines(const std::string &body);
+[[nodiscard]] std::string encode_deletion(const std::vector<std::string> &machines);
+
+/// One page of the cloud's list of our machines.
+struct listed_machine_page {
+    std::vector<listed_machine> hosts;
+    bool more = false; // another page follows
+};
+[[nodiscard]] listed_machine_page parse_machine_list(const std::string &body);
+/// Path and query of the page that follows the machine `after`; empty: of the first page.
+[[nodiscard]] std::string machine_list_target(const std::string &after, int limit);
+
+} // namespace spindlecroft::wire
--- /dev/null
+++ b/src/wire/heartbeats.cpp
@@ -0,0 +1,114 @@
+#include "wire/heartbeats.hpp"
+#include "constants.hpp"
+#include "wire/json_fields.hpp"
+#include "wire/words.hpp"
+
+namespace spindlecroft::wire {
+
+namespace {
+
+// Beyond this no further digit is read: guards against an overflow.
+constexpr std::uint64_t task_number_bound = 10'000'000;
+
+std::uint32_t parse_task_index(std::string_view digits) {
+    std::uint64_t number = 0;
+    for (char digit : digits) {
+        if (digit < '0' || digit > '9' || number > task_number_bound)
+            fail("thread", "is not JOB/NUMBER");
+        number = number * 10 + static_cast<std::uint64_t>(digit - '0');
+    }
+    if (number >= constants::threads_limit)
+        fail("thread", "has too large a number");
+    return static_cast<std::uint32_t>(number);
+}
+
+// Splits "JOB/INDEX".
+void read_task_name(task_status &task, const std::string &name) {
+    auto slash = name.rfind('/');
+    if (slash == std::string::npos || slash + 1 >= name.size())
+        fail("thread", "is not JOB/NUMBER");
+    task.index = parse_task_index(std::string_view(name).substr(slash + 1));
+    task.job = name.substr(0, slash);
+}
+
+task_state parse_task_state(const std::string &word) {
+    if (word == task_waiting_word)
+        return task_state::fetching;
+    auto state = task_state_words.value(word);
+    if (!state)
+        fail("stage", "is not a task state");
+    return *state;
+}
+
+task_status task_status_of(const json::object &object) {
+    task_status task;
+    read_task_name(task, text_field(object, "thread"));
+    task.attempt = count_field(object, "try");
+    task.state = parse_task_state(text_field(object, "stage"));
+    if (task.state == task_state::exited) {
+        auto cause = exit_cause_words.value(text_field(object, "cause"));
+        task.cause = cause.value_or(exit_cause::error);
+        task.checkpointed = flag_field_or(object, "kept", false);
+    }
+    return task;
+}
+
+json::object command_object(const command &command) {
+    json::object object;
+    object["verb"] = command_words.word(command.kind);
+    object["thread"] = command.job + "/" + std::to_string(command.index);
+    object["try"] = command.attempt;
+    if (command.kind == command_kind::stop)
+        object["slackS"] = command.grace.count();
+    return object;
+}
+
+json::object commands_object(std::uint64_t token, const std::vector<command> &commands) {
+    json::array orders;
+    for (const auto &command : commands)
+        orders.push_back(command_object(command));
+    json::object object;
+    object["warrant"] = token;
+    object["orders"] = std::move(orders);
+    return object;
+}
+
+} // namespace
+
+heartbeat parse_heartbeat(const std::string &body) {
+    auto object = parse_object(body);
+    heartbeat report;
+    report.machine = text_field(object, "spindle");
+    report.address = text_field(object, "address");
+    report.type = text_field(object, "frame");
+    report.zone = text_field(object, "croft");
+    report.spot = flag_field_or(object, "loaners", false);
+    report.incarnation = count_field(object, "shift");
+    report.sequence = count_field(object, "tally");
+    report.token = count_field(object, "warrant");
+    report.reclaim_notice = optional_duration(object, "recallS");
+    if (find_field(object, "threads"))
+        for (const auto &task : list_field(object, "threads"))
+            report.tasks.push_back(task_status_of(object_element(task, "threads")));
+    return report;
+}
+
+std::string encode_heartbeat_answer(std::uint64_t token, const std::vector<command> &commands) {
+    return json::serialize(commands_object(token, commands));
+}
+
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
+                                   const std::vector<command> &commands) {
+    auto object = commands_object(token, commands);
+    object["shift"] = incarnation;
+    return json::serialize(object);
+}
+
+std::string encode_redirect(const std::string &node) {
+    json::object object;
+    if (!node.empty())
+        object["foreman"] = node;
+    return json::serialize(object);
+}
+
+} // namespace spindlecroft::wire
--- /dev/null
+++ b/src/wire/job_records.hpp
@@ -0,0 +1,46 @@
+// Our records of jobs in the key-value store: accepted or cancelled, ended, suspect.
+//
+//   in the record   here
+//   at              when the job was accepted, or ended
+//   stage           state in which it ended (aborted: cancelled)
+//   job             a job without predecessors, with the fields of a submission
+//   dependentJob    a job with predecessors
+#pragma once
+#include "common/time.hpp"
+#include "wire/malformed_message.hpp"
+#include "wire/types.hpp"
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace spindlecroft::wire {
+
+/// A job from its acceptance to its end.
+struct job_record {
+    bool cancelled = false;
+    wall_time accepted_at{};
+    std::optional<wall_time> cancelled_at; // nothing: unknown
+    job_spec spec;
+};
+[[nodiscard]] std::string encode_job_record(const job_record &record);
+/// Throws malformed_message, as do the other parsers.
+[[nodiscard]] job_record parse_job_record(const std::string &value);
+
+/// A job after its end.
+struct ended_record {
+    job_state state = job_state::done;
+    std::uint32_t done = 0;      // tasks
+    std::optional<wall_time> at; // nothing: unknown, as in records of versions before 0.5
+};
+[[nodiscard]] std::string encode_ended(const ended_record &record);
+[[nodiscard]] ended_record parse_ended(const std::string &value);
+
+/// The record of jobs that fail wherever they run.
+[[nodiscard]] std::string encode_suspects(const std::vector<std::string> &jobs);
+[[nodiscard]] std::vector<std::string> parse_suspects(const std::string &value);
+/// Most bytes that one more job adds to the record; an empty name: the record without jobs.
+[[nodiscard]] std::size_t suspects_bytes(const std::string &job);
+
+} // namespace spindlecroft::wire
--- /dev/null
+++ b/src/wire/submissions.cpp
@@ -0,0 +1,61 @@
+#include "wire/submissions.hpp"
+#include "wire/job_spec_json.hpp"
+#include "wire/words.hpp"
+#include <algorithm>
+
+namespace spindlecroft::wire {
+
+namespace {
+
+constexpr std::string_view job_id_prefix = "job-";
+constexpr std::size_t longest_job_id = 100; // bytes
+
+// Locale-independent, unlike std::isalnum.
+bool job_id_character(char character) {
+    return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+           (character >= 'A' && character <= 'Z') || character == '-' || character == '_' ||
+           character == '.';
+}
+
+} // namespace
+
+bool valid_job_id(const std::string &id) {
+    return id.size() > job_id_prefix.size() && id.size() <= longest_job_id &&
+           id.starts_with(job_id_prefix) && std::all_of(id.begin(), id.end(), job_id_character);
+}
+
+std::string_view state_word(job_state state) {
+    return job_state_words.word(state);
+}
+
+job_spec parse_submission(const std::string &body) {
+    return job_spec_of(parse_object(body));
+}
+
+std::string encode_spec(const job_spec &spec) {
+    return json::serialize(job_spec_object(spec));
+}
+
+std::string encode_accepted(const std::string &id, job_state state) {
+    json::object object;
+    object["uid"] = id;
+    object["stage"] = state_word(state);
+    return json::serialize(object);
+}
+
+std::string encode_status(const job_status &status) {
+    json::object object;
+    object["uid"] = status.id;
+    object["stage"] = state_word(status.state);
+    object["done"] = status.done;
+    object["running"] = status.running;
+    return json::serialize(object);
+}
+
+std::string encode_error(const std::string &what) {
+    json::object object;
+    object["error"] = what;
+    return json::serialize(object);
+}
+
+} // namespace spindlecroft::wire
