--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -7,19 +7,22 @@
 namespace spindlecroft::constants {
 
 // --- limits of the wire (PROTOCOL) ---
-inline constexpr std::size_t body_limit = std::size_t{64} * 1024; // bytes; no request may be larger
-inline constexpr std::size_t line_limit =
-    std::size_t{64} * 1024; // bytes; no response line may be larger
-inline constexpr std::size_t answer_limit =
-    std::size_t{8} * 1024 * 1024; // bytes; a watch answer is unlimited, ours to bound
+inline constexpr std::size_t body_limit = std::size_t{64} * 1024; // bytes of a request's body
+inline constexpr std::size_t line_limit = std::size_t{64} * 1024; // bytes of a response line
+// Bytes of an answer to us. The answer to a watch has no bound of its own: this one is ours.
+inline constexpr std::size_t answer_limit = std::size_t{8} * 1024 * 1024;
 inline constexpr std::uint64_t threads_limit = 100'000; // tasks in one job
-inline constexpr int page_items = 1000;                 // items; the key-value store's largest page
-inline constexpr int listed_machine_page = 500;         // machines; the cloud's largest page
+inline constexpr int page_items = 1000;                 // the key-value store's largest page
+inline constexpr int listed_machine_page = 500;         // the cloud's largest page
 inline constexpr int machines_per_request = 50;         // machines in one rental request
 inline constexpr int deletes_per_request = 100;         // names in one deletion
-inline constexpr std::size_t value_margin = 16;         // bytes; kept free in each value
-inline constexpr std::size_t txn_bytes =
-    std::size_t{48} * 1024; // bytes; 64 KiB less room for conditions
+inline constexpr std::size_t value_margin = 16;         // bytes kept free in each value
+// Bytes of a transaction's operations: 64 KiB less room for its conditions.
+inline constexpr std::size_t txn_bytes = std::size_t{48} * 1024;
+
+// --- amounts of resources ---
+// Amounts are decimal, so sums of them are not exact: comparisons allow for this much.
+inline constexpr double amount_tolerance = 1e-9;
 
 // --- clocks ---
 inline constexpr double clock_drift = 0.0005; // ratio; how far two steady clocks may drift apart
@@ -27,27 +30,29 @@
     0.25}; // s; covers timer steps and the 100 ms late end of a lease
 
 // --- server and clients ---
-inline constexpr seconds isolated_after{4.0}; // s; a node without key-value store and without word
-                                              // from other nodes sends users elsewhere
-inline constexpr seconds progress_gap{2.0};   // s; counts of tasks are for display
-inline constexpr seconds user_request{4.0};   // s; users give up after 5 s, answer before that
-inline constexpr seconds idle_connection{
-    75};                                    // s; a quiet keep-alive connection is closed after this
-inline constexpr seconds slow_request{5.0}; // s; a request must arrive whole within this
-inline constexpr seconds state_timeout{1.5}; // s; answers usually take 10 ms, now and then hundreds
-inline constexpr seconds cloud_timeout{6.0}; // s; renting takes longer than reading
-inline constexpr seconds peer_timeout{0.6};  // s; a vote is worth little when it comes later
-inline constexpr seconds worker_timeout{2.5}; // s; a command that takes longer counts as unresolved
+// A node without the key-value store and without word from other nodes for so long sends users
+// elsewhere.
+inline constexpr seconds isolated_after{4.0};
+inline constexpr seconds progress_gap{2.0}; // between counts of tasks, which are for display
+inline constexpr seconds user_request{4.0}; // users give up after 5 s, and are answered before that
+inline constexpr seconds idle_connection{75}; // a quiet keep-alive connection is then closed
+inline constexpr seconds slow_request{5.0};   // a request must arrive whole within this
+inline constexpr seconds state_timeout{1.5};  // answers usually take 10 ms, now and then hundreds
+inline constexpr seconds cloud_timeout{6.0};  // renting takes longer than reading
+inline constexpr seconds peer_timeout{0.6};   // a vote is worth little when it comes later
+inline constexpr seconds worker_timeout{2.5}; // a command that takes longer counts as unresolved
 inline constexpr std::size_t pool_idle = 4;   // connections kept open to one host
-inline constexpr int retry_after_s = 1;       // s; told to users who get 503
-inline constexpr double command_sockets =
-    0.1; // share of sockets for commands to workers; beyond it they are closed after use
-inline constexpr double back_sockets = 0.04;          // share of sockets for the other controllers
-inline constexpr std::size_t back_sockets_least = 16; // sockets; a few for each other controller
-inline constexpr std::size_t other_sockets =
-    40; // sockets to the key-value store, the cloud and other controllers, and the listeners
-inline constexpr double crowded_share =
-    0.85; // of the listener's sockets; beyond it users are sent away and workers' are not kept
+inline constexpr int retry_after_s = 1;       // told to users who get 503
+// Share of the sockets for commands to workers; beyond it they are closed after use.
+inline constexpr double command_sockets = 0.1;
+inline constexpr double back_sockets = 0.04;          // share for the other controllers
+inline constexpr std::size_t back_sockets_least = 16; // a few for each other controller
+// Sockets to the key-value store, the cloud and other controllers, and the listeners.
+inline constexpr std::size_t other_sockets = 40;
+// Share of the listener's sockets beyond which users are sent away and workers' are not kept.
+inline constexpr double crowded_share = 0.85;
+inline constexpr std::size_t header_limit = std::size_t{16} * 1024; // bytes of a request's header
+inline constexpr seconds accept_retry{0.05}; // out of sockets, until some may have closed
 
 inline constexpr double cloud_share = 0.9;  // share of the cloud's rate that is used
 inline constexpr seconds cloud_burst{2.0};  // the cloud permits bursts worth this long
