--- a/src/net/async.hpp
+++ b/src/net/async.hpp
@@ -20,33 +20,37 @@
 template <class T>
 using awaitable = asio::awaitable<T>;
 
-// The steady clock. Only routines that do input or output read it; decisions are given the time.
-inline time_point steady_now() {
+/// The steady clock. Only routines that do input or output read it; decisions are given the time.
+[[nodiscard]] inline time_point steady_now() {
     return std::chrono::steady_clock::now();
 }
 
-inline wall_time wall_now() {
+/// The time of day; for records and messages, never for leases.
+[[nodiscard]] inline wall_time wall_now() {
     return std::chrono::system_clock::now();
 }
 
-// In the unit of Asio's timers.
-inline std::chrono::steady_clock::duration timer_ticks(seconds length) {
+/// A length in the unit of Asio's timers.
+[[nodiscard]] inline std::chrono::steady_clock::duration timer_ticks(seconds length) {
     return std::chrono::duration_cast<std::chrono::steady_clock::duration>(length);
 }
 
-// Starts a duty. What escapes it is logged: one broken exchange must not end the process.
-inline void spawn(asio::io_context &io, awaitable<void> duty, std::string name) {
-    asio::co_spawn(io, std::move(duty), [name = std::move(name)](const std::exception_ptr &e) {
-        if (!e)
-            return;
-        try {
-            std::rethrow_exception(e);
-        } catch (const std::exception &x) {
-            spdlog::error("{} ended: {}", name, x.what());
-        }
-    });
+/// Starts a coroutine of its own. What escapes it is logged under its name: one broken exchange
+/// must not end the process.
+inline void spawn(asio::io_context &io, awaitable<void> routine, std::string name) {
+    asio::co_spawn(io, std::move(routine),
+                   [name = std::move(name)](const std::exception_ptr &failure) {
+                       if (!failure)
+                           return;
+                       try {
+                           std::rethrow_exception(failure);
+                       } catch (const std::exception &error) {
+                           spdlog::error("{} ended: {}", name, error.what());
+                       }
+                   });
 }
 
+/// Suspends the calling coroutine.
 inline awaitable<void> sleep_for(seconds length) {
     asio::steady_timer timer(co_await asio::this_coro::executor);
     timer.expires_after(timer_ticks(length));
@@ -54,19 +58,21 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
 
-// Wakes every coroutine that waits on it.
+/// Wakes every coroutine that waits on it.
 class signal {
   public:
     explicit signal(asio::io_context &io) : timer_(io) {
         timer_.expires_at(std::chrono::steady_clock::time_point::max());
     }
+    /// Wakes those that wait now; those that wait later are not woken by it.
     void notify() { timer_.cancel(); }
+    /// Waits for the next notification.
     awaitable<void> wait() {
         boost::system::error_code ec;
         co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
-    // Waits for a notification, but at most for the given time. The flag is shared, since the
-    // limit's handler may still be queued when the waiting coroutine has gone on.
+    /// Waits for a notification, but at most for the given time. The flag is shared, since the
+    /// limit's handler may still be queued when the waiting coroutine has gone on.
     awaitable<void> wait_for(seconds most) {
         auto limit = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor);
         auto over = std::make_shared<bool>(false);
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -4,6 +4,7 @@
 #include "net/async.hpp"
 #include "settings/settings.hpp"
 #include <boost/asio/ip/tcp.hpp>
+#include <chrono>
 #include <functional>
 #include <list>
 #include <memory>
@@ -11,40 +12,51 @@
 
 namespace spindlecroft::net {
 
+/// A request as the server hands it to its handler.
 struct request {
-    std::string method, target, body;
+    std::string method;
+    std::string target; // path and query
+    std::string body;
 };
 
+/// A handler's answer.
 struct response {
     int status = 200;
     std::string body;
     int retry_after_s = 0; // 0: header left out
-    bool cbor = false;
-    bool close = false; // the connection ends with this answer
+    bool cbor = false;     // the body is CBOR, not JSON
+    bool close = false;    // the connection ends with this answer
 };
 
+/// Answers one request. What it throws is logged, and answered with 503.
 using handler = std::function<awaitable<response>(request)>;
 
+/// Bounds of a server.
 struct server_limits {
-    std::size_t connections = 1000;
-    seconds idle_timeout{75};
-    seconds request_timeout{5};
+    std::size_t connections = 1000; // open at once; more are closed as they come
+    seconds idle_timeout{75};       // between two requests on a connection
+    seconds request_timeout{5};     // for a request to arrive, and for its answer to be sent
 };
 
+/// Listens on one address and serves each connection in a coroutine of its own.
 class server {
   public:
-    server(asio::io_context &io, const settings::address &at, handler h, server_limits limits,
+    /// Binds the address; throws boost::system::system_error if it can't. The name is for the log.
+    server(asio::io_context &io, const settings::address &at, handler handle, server_limits limits,
            std::string name);
     void start();
+    /// Takes no more connections; open ones end with their present request.
     void stop();
-    std::size_t open() const { return *open_; }
-    // So many connections are open that none should be kept without need.
-    bool crowded() const { return crowded(*open_, limits_); }
-    static bool crowded(std::size_t open, const server_limits &l);
+    /// Connections that are open.
+    [[nodiscard]] std::size_t open() const { return *open_; }
+    /// So many connections are open that none should be kept without need.
+    [[nodiscard]] bool crowded() const { return crowded(*open_, limits_); }
+    [[nodiscard]] static bool crowded(std::size_t open, const server_limits &limits);
 
   private:
     awaitable<void> accept_loop();
     awaitable<void> serve(asio::ip::tcp::socket socket);
+    awaitable<response> handle(request question);
     asio::io_context &io_;
     asio::ip::tcp::acceptor acceptor_;
     handler handler_;
@@ -55,37 +67,51 @@
     bool stopping_ = false;
 };
 
+/// What is known of a request after the call.
 enum class outcome {
     answered, // a response came
     not_sent, // surely never received by the other side
     unknown   // may have been executed, or may yet be
 };
 
+/// The result of a call. Status and body are set only if it was answered.
 struct reply {
     outcome how = outcome::not_sent;
     int status = 0;
     std::string body;
-    bool ok() const { return how == outcome::answered && status == 200; }
+    [[nodiscard]] bool ok() const { return how == outcome::answered && status == 200; }
 };
 
-// Whether a request may still be sent. Asked right before its first byte goes out. Name the object
-// before the co_await that takes it: GCC 12 destroys a lambda with captures twice when it is made
-// within the expression.
+/// Whether a request may still be sent. Asked right before its first byte goes out, after the
+/// connection is there, so that a process that stood still in between does not act on a lease that
+/// has ended. An empty one permits everything. Name the object before the co_await that takes it:
+/// GCC 12 destroys a lambda with captures twice when it is made within the expression.
 using permission = std::function<bool()>;
 
-// A client for one host. Any number of requests may be open; finished connections are kept.
+/// A client for one host. Any number of requests may be open; finished connections are kept.
 class client {
   public:
+    /// idle: most connections kept open without a request.
     client(asio::io_context &io, const settings::address &to, std::size_t idle);
     ~client();
-    // A request that is not permitted any more counts as not sent.
+    client(const client &) = delete;
+    client &operator=(const client &) = delete;
+    /// Sends a request and waits for its answer; the timeout covers both and the connecting. A
+    /// request that is not permitted any more counts as not sent. A GET is sent once more if a kept
+    /// connection turns out to be closed.
     awaitable<reply> call(std::string method, std::string target, std::string body, seconds timeout,
                           bool cbor = false, permission permitted = {});
-    time_point used_at() const { return used_at_; } // when it was last called
+    /// When it was last called.
+    [[nodiscard]] time_point used_at() const { return used_at_; }
 
   private:
     struct connection;
-    void keep_idle(std::unique_ptr<connection> c);
+    using ticks = std::chrono::steady_clock::time_point;
+    // A new connection; nullptr if it failed or the deadline came first.
+    awaitable<std::unique_ptr<connection>> connect(ticks deadline);
+    // A kept connection, or nullptr.
+    std::unique_ptr<connection> take_idle();
+    void keep_idle(std::unique_ptr<connection> open);
     asio::io_context &io_;
     settings::address to_;
     std::size_t idle_limit_;
