--- a/src/bidding/bid.hpp
+++ b/src/bidding/bid.hpp
@@ -1,77 +1,108 @@
-// The bids of the paper's scheduler: queued work + image fetch + run time.
+// The bids of the paper's scheduler: queued work + image fetch + run time ("Distributed Data
+// Locality-Aware Job Allocation", section 5 and page 2; docs/design.md has the table).
 #pragma once
 #include "common/time.hpp"
 #include "constants.hpp"
 #include "wire/types.hpp"
 #include <algorithm>
 #include <map>
-#include <optional>
 #include <string>
 
 namespace spindlecroft::bidding {
 
-// How owners' estimates of a class compare with what was measured.
+/// How owners' estimates of run times compare with what was measured, for each class of jobs.
 class estimates {
   public:
-    seconds expected_run_time(const job_spec &s) const;
+    /// The owner's estimate, or the default without one, corrected by the factor of its class.
+    [[nodiscard]] seconds expected_run_time(const job_spec &spec) const;
+    /// Takes in the run time of a task that ended. Passed over where either time is not positive.
     void measured(const std::string &job_class, seconds estimate, seconds took);
 
   private:
-    std::map<std::string, double> factor_;
+    std::map<std::string, double> factor_; // by class: measured over estimated
 };
 
-struct room {
-    double cpus = 0, gpus = 0, memory_gb = 0;
-    bool fits(const job_spec &s) const {
-        constexpr double tiny = 1e-9; // amounts are decimal, sums of them are not exact
-        return s.cpus <= cpus + tiny && s.gpus <= gpus + tiny && s.memory_gb <= memory_gb + tiny;
+/// Amounts of what a machine has, or has left.
+struct resources {
+    double cpus = 0;
+    double gpus = 0;
+    double memory_gb = 0;
+
+    [[nodiscard]] bool fits(const job_spec &spec) const {
+        constexpr double tolerance = constants::amount_tolerance;
+        return spec.cpus <= cpus + tolerance && spec.gpus <= gpus + tolerance &&
+               spec.memory_gb <= memory_gb + tolerance;
     }
-    void take(const job_spec &s) {
-        cpus -= s.cpus;
-        gpus -= s.gpus;
-        memory_gb -= s.memory_gb;
+    /// Takes away what one task needs.
+    void take(const job_spec &spec) {
+        cpus -= spec.cpus;
+        gpus -= spec.gpus;
+        memory_gb -= spec.memory_gb;
     }
-    void give(const job_spec &s) {
-        cpus += s.cpus;
-        gpus += s.gpus;
-        memory_gb += s.memory_gb;
+    /// Adds what one task needs.
+    void give(const job_spec &spec) {
+        cpus += spec.cpus;
+        gpus += spec.gpus;
+        memory_gb += spec.memory_gb;
     }
-    // How many such tasks fit at once.
-    int slots(const job_spec &s) const {
-        constexpr double tiny = 1e-9;
-        double n = 1e6;
-        if (s.cpus > 0)
-            n = std::min(n, (cpus + tiny) / s.cpus);
-        if (s.gpus > 0)
-            n = std::min(n, (gpus + tiny) / s.gpus);
-        if (s.memory_gb > 0)
-            n = std::min(n, (memory_gb + tiny) / s.memory_gb);
-        return std::max(0, static_cast<int>(n));
+    /// How many such tasks fit at once.
+    [[nodiscard]] int slots(const job_spec &spec) const {
+        constexpr double tolerance = constants::amount_tolerance;
+        constexpr double unbounded = 1e6; // for a task that needs nothing
+        double tasks = unbounded;
+        if (spec.cpus > 0)
+            tasks = std::min(tasks, (cpus + tolerance) / spec.cpus);
+        if (spec.gpus > 0)
+            tasks = std::min(tasks, (gpus + tolerance) / spec.gpus);
+        if (spec.memory_gb > 0)
+            tasks = std::min(tasks, (memory_gb + tolerance) / spec.memory_gb);
+        return std::max(0, static_cast<int>(tasks));
     }
 };
 
+/// Former name of resources, until src/control has moved.
+using room = resources;
+
+/// A machine's bid for one task. The lowest finish time wins.
 struct offer {
-    seconds queue_time{};
-    seconds fetch_time{};
+    seconds queue_time{}; // until the task could begin
+    seconds fetch_time{}; // for its image, where that is not at hand
     seconds run_time{};
-    seconds finish_time() const { return queue_time + fetch_time + run_time; }
+    [[nodiscard]] seconds finish_time() const { return queue_time + fetch_time + run_time; }
+};
+
+/// What a machine knows when it bids for a task.
+struct bid_input {
+    double speed = 1;            // of the machine; 1: as fast as estimates assume
+    double fetch_gb_per_s = 0;   // rate at which it fetches images
+    resources free;              // held by no present or queued task
+    resources whole;             // what tasks that come and go may use, held or not
+    seconds work{};              // remaining and queued run time of such tasks
+    seconds boot_time{};         // until the machine is up
+    seconds expected_run_time{}; // of the task, at speed 1
+    bool has_image = false;      // cached there, or on its way for another task
+    int fetches = 0;             // other images on their way, which share the rate
 };
 
-// What one machine bids for a task.
-// free: room that no present or queued task holds; whole: room for tasks that come and go;
-// work: remaining and queued run time of such tasks; boot_time: until the machine is up.
-// has_image: cached there, or on its way for another task.
-inline offer make_bid(double speed, double fetch_gb_per_s, const job_spec &s, const room &free,
-                      const room &whole, seconds work, seconds boot_time, seconds expected_run_time,
-                      bool has_image, int fetches) {
-    offer o;
-    if (!free.fits(s))
-        o.queue_time = work / std::max(1, whole.slots(s));
-    o.queue_time += boot_time;
-    if (!has_image && fetch_gb_per_s > 0)
-        o.fetch_time = seconds{s.image_gb / fetch_gb_per_s * (1 + fetches)};
-    o.run_time = expected_run_time / std::max(speed, constants::speed_floor);
-    return o;
+/// Queue, fetch and run time of one task of the job on the machine.
+[[nodiscard]] inline offer make_bid(const job_spec &spec, const bid_input &input) {
+    offer bid;
+    if (!input.free.fits(spec))
+        bid.queue_time = input.work / std::max(1, input.whole.slots(spec));
+    bid.queue_time += input.boot_time;
+    if (!input.has_image && input.fetch_gb_per_s > 0)
+        bid.fetch_time = seconds{spec.image_gb / input.fetch_gb_per_s * (1 + input.fetches)};
+    bid.run_time = input.expected_run_time / std::max(input.speed, constants::speed_floor);
+    return bid;
+}
+
+/// The same, as src/control still calls it.
+[[nodiscard]] inline offer make_bid(double speed, double fetch_gb_per_s, const job_spec &spec,
+                                    const resources &free, const resources &whole, seconds work,
+                                    seconds boot_time, seconds expected_run_time, bool has_image,
+                                    int fetches) {
+    return make_bid(spec, {speed, fetch_gb_per_s, free, whole, work, boot_time, expected_run_time,
+                           has_image, fetches});
 }
 
 } // namespace spindlecroft::bidding
--- a/src/fairness/chain_order.cpp
+++ b/src/fairness/chain_order.cpp
@@ -35,11 +35,11 @@
 inherit(const catalog::dependency_graph &graph,
         const std::function<std::optional<chain_member>(const std::string &)> &member) {
     // Each job is visited once, after all that need it.
-    std::map<std::string, inherited> out;
+    std::map<std::string, inherited> inherited_by_job;
     std::map<std::string, std::size_t> dependents_left;
     std::vector<std::string> open;
-    for (auto &[job, node] : graph.nodes()) {
-        for (auto &predecessor : node.predecessors)
+    for (const auto &[job, node] : graph.nodes()) {
+        for (const auto &predecessor : node.predecessors)
             ++dependents_left[predecessor];
         if (graph.dependents(job).empty())
             open.push_back(job);
@@ -48,17 +48,17 @@
         auto job = std::move(open.back());
         open.pop_back();
         auto own = member(job);
-        if (own)
-            if (auto from = out.find(job); from != out.end())
-                own = combined(*own, from->second);
-        for (auto &predecessor : graph.find(job)->predecessors) {
+        auto from = inherited_by_job.find(job);
+        if (own && from != inherited_by_job.end())
+            own = combined(*own, from->second);
+        for (const auto &predecessor : graph.find(job)->predecessors) {
             if (own && !graph.end_of(predecessor))
-                out[predecessor].merge(*own);
+                inherited_by_job[predecessor].merge(*own);
             if (--dependents_left[predecessor] == 0 && graph.find(predecessor))
                 open.push_back(predecessor);
         }
     }
-    return out;
+    return inherited_by_job;
 }
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/chain_order.hpp
+++ b/src/fairness/chain_order.hpp
@@ -10,29 +10,30 @@
 
 namespace spindlecroft::fairness {
 
-// The earliest and the latest of the times by which a job should be complete.
+/// The earliest and the latest of the times by which a job should be complete.
 struct due_times {
     time_point first{};
     time_point last{};
 };
 
-// What is known of a job by itself.
+/// What is known of a job by itself.
 struct chain_member {
     priority_class priority = priority_class::normal;
     std::optional<due_times> due;
     seconds duration{}; // estimated, from its readiness to its end
 };
 
+/// What a job inherits from the jobs that need it.
 struct inherited {
     priority_class priority = priority_class::low;
     std::optional<due_times> due;
-    // Takes what the job's dependent, as it stands, asks of it.
+    /// Takes what the job's dependent, as it stands, asks of it.
     void merge(const chain_member &dependent);
 };
 
-// For every job that unfinished jobs need. member: nothing for a job that does not count (any
-// more).
-std::map<std::string, inherited>
+/// For every job that unfinished jobs need. member: nothing for a job that does not count (any
+/// more).
+[[nodiscard]] std::map<std::string, inherited>
 inherit(const catalog::dependency_graph &graph,
         const std::function<std::optional<chain_member>(const std::string &)> &member);
 
--- a/src/fairness/team_order.cpp
+++ b/src/fairness/team_order.cpp
@@ -1,40 +1,76 @@
 #include "fairness/team_order.hpp"
 #include "constants.hpp"
 #include <algorithm>
+#include <numeric>
+#include <optional>
 
 namespace spindlecroft::fairness {
 
-std::vector<turn> serving_order(const std::vector<waiting_job> &jobs, double slots) {
-    std::vector<std::size_t> starved, order(jobs.size());
-    std::vector<char> late(jobs.size());
-    std::size_t aged = jobs.size();
-    for (std::size_t i = 0; i < jobs.size(); ++i) {
-        auto &j = jobs[i];
-        order[i] = i;
-        late[i] = static_cast<char>(j.due_in.empty() || j.due_in.back() < j.longest);
-        if (!j.begun && j.waited > constants::starved_after)
+namespace {
+
+// Can't be complete by any of its due times.
+bool is_late(const waiting_job &job) {
+    return job.due_in.empty() || job.due_in.back() < job.longest;
+}
+
+std::vector<bool> late_jobs(const std::vector<waiting_job> &jobs) {
+    std::vector<bool> late;
+    late.reserve(jobs.size());
+    for (const auto &job : jobs)
+        late.push_back(is_late(job));
+    return late;
+}
+
+// Jobs that waited long without any task, the longest wait first.
+std::vector<std::size_t> starved_jobs(const std::vector<waiting_job> &jobs) {
+    std::vector<std::size_t> starved;
+    for (std::size_t i = 0; i < jobs.size(); ++i)
+        if (!jobs[i].begun && jobs[i].waited > constants::starved_after)
             starved.push_back(i);
-        if (late[i] && j.waited > constants::aged_after &&
-            (aged == jobs.size() || j.waited > jobs[aged].waited))
-            aged = i;
-    }
     std::stable_sort(starved.begin(), starved.end(),
-                     [&](auto a, auto b) { return jobs[a].waited > jobs[b].waited; });
-    std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) {
-        return late[a] != late[b] ? late[a] < late[b] : jobs[a].work < jobs[b].work;
+                     [&](auto left, auto right) { return jobs[left].waited > jobs[right].waited; });
+    return starved;
+}
+
+// The late job that waited longest, if it waited long enough for a share of its own.
+std::optional<std::size_t> oldest_aged_job(const std::vector<waiting_job> &jobs,
+                                           const std::vector<bool> &late) {
+    std::optional<std::size_t> oldest;
+    for (std::size_t i = 0; i < jobs.size(); ++i)
+        if (late[i] && jobs[i].waited > constants::aged_after &&
+            (!oldest || jobs[i].waited > jobs[*oldest].waited))
+            oldest = i;
+    return oldest;
+}
+
+// Jobs that can be in time before the others, and least work first among each.
+std::vector<std::size_t> least_work_first(const std::vector<waiting_job> &jobs,
+                                          const std::vector<bool> &late) {
+    std::vector<std::size_t> order(jobs.size());
+    std::iota(order.begin(), order.end(), std::size_t{0});
+    std::stable_sort(order.begin(), order.end(), [&](auto left, auto right) {
+        return late[left] != late[right] ? !late[left] : jobs[left].work < jobs[right].work;
     });
-    std::vector<turn> out;
-    out.reserve(starved.size() + 1 + order.size());
-    for (auto i : starved)
-        out.push_back({i, 1});
-    if (aged < jobs.size()) {
-        double share = std::max(1.0, constants::aged_share * slots) - jobs[aged].held;
+    return order;
+}
+
+} // namespace
+
+std::vector<turn> serving_order(const std::vector<waiting_job> &jobs, double slots) {
+    auto late = late_jobs(jobs);
+    auto starved = starved_jobs(jobs);
+    std::vector<turn> turns;
+    turns.reserve(starved.size() + 1 + jobs.size());
+    for (auto job : starved)
+        turns.push_back({job, 1});
+    if (auto aged = oldest_aged_job(jobs, late)) {
+        double share = std::max(1.0, constants::aged_share * slots) - jobs[*aged].held;
         if (share >= 1)
-            out.push_back({aged, static_cast<std::uint32_t>(share)});
+            turns.push_back({*aged, static_cast<std::uint32_t>(share)});
     }
-    for (auto i : order)
-        out.push_back({i, all_tasks});
-    return out;
+    for (auto job : least_work_first(jobs, late))
+        turns.push_back({job, all_tasks});
+    return turns;
 }
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/team_queues.cpp
+++ b/src/fairness/team_queues.cpp
@@ -1,73 +1,85 @@
 #include "fairness/team_queues.hpp"
+#include "constants.hpp"
 #include <algorithm>
 
 namespace spindlecroft::fairness {
 
 namespace {
-constexpr double tiny = 1e-9; // amounts are decimal, sums of them are not exact
+
+constexpr double tolerance = constants::amount_tolerance;
+
+// A limit of 0 is none.
+bool permitted(double amount, double limit) {
+    return limit <= 0 || amount <= limit + tolerance;
 }
 
+bool has_guarantee(const settings::team &team) {
+    return team.cpus > 0 || team.gpus > 0;
+}
+
+} // namespace
+
 team_queues::team_queues(std::vector<settings::team> teams) : teams_(std::move(teams)) {}
 
 const settings::team *team_queues::find(const std::string &team) const {
-    for (auto &t : teams_)
-        if (t.name == team)
-            return &t;
-    return nullptr;
+    auto found = std::find_if(teams_.begin(), teams_.end(),
+                              [&](const settings::team &known) { return known.name == team; });
+    return found == teams_.end() ? nullptr : &*found;
 }
 
 void team_queues::clear_usage() {
     used_.clear();
 }
 
-void team_queues::add(const std::string &team, const job_spec &s, int sign) {
-    auto &u = used_[team];
-    u.cpus += sign * s.cpus;
-    u.gpus += sign * s.gpus;
+void team_queues::add(const std::string &team, const job_spec &spec, int sign) {
+    auto &present = used_[team];
+    present.cpus += sign * spec.cpus;
+    present.gpus += sign * spec.gpus;
 }
 
 usage team_queues::used(const std::string &team) const {
-    auto i = used_.find(team);
-    return i == used_.end() ? usage{} : i->second;
+    auto found = used_.find(team);
+    return found == used_.end() ? usage{} : found->second;
 }
 
-bool team_queues::within_limit(const job_spec &s) const {
-    auto *t = find(s.team);
-    if (!t)
+bool team_queues::within_limit(const job_spec &spec) const {
+    const auto *team = find(spec.team);
+    if (!team)
         return false;
-    auto u = used(s.team);
-    return (t->cpus_max <= 0 || u.cpus + s.cpus <= t->cpus_max + tiny) &&
-           (t->gpus_max <= 0 || u.gpus + s.gpus <= t->gpus_max + tiny);
+    auto present = used(spec.team);
+    return permitted(present.cpus + spec.cpus, team->cpus_max) &&
+           permitted(present.gpus + spec.gpus, team->gpus_max);
 }
 
-bool team_queues::within_guarantee(const job_spec &s) const {
-    auto *t = find(s.team);
-    if (!t || (t->cpus <= 0 && t->gpus <= 0))
+bool team_queues::within_guarantee(const job_spec &spec) const {
+    const auto *team = find(spec.team);
+    if (!team || !has_guarantee(*team))
         return false;
-    auto u = used(s.team);
-    return u.cpus + s.cpus <= t->cpus + tiny && u.gpus + s.gpus <= t->gpus + tiny;
+    auto present = used(spec.team);
+    return present.cpus + spec.cpus <= team->cpus + tolerance &&
+           present.gpus + spec.gpus <= team->gpus + tolerance;
 }
 
-double team_queues::share_used(const std::string &team) const {
-    auto *t = find(team);
-    auto u = used(team);
+double team_queues::share_used(const std::string &name) const {
+    const auto *team = find(name);
+    auto present = used(name);
+    if (!team || !has_guarantee(*team))
+        return present.cpus + present.gpus;
     double share = 0;
-    if (t && t->cpus > 0)
-        share = std::max(share, u.cpus / t->cpus);
-    if (t && t->gpus > 0)
-        share = std::max(share, u.gpus / t->gpus);
-    if (!t || (t->cpus <= 0 && t->gpus <= 0))
-        share = u.cpus + u.gpus;
+    if (team->cpus > 0)
+        share = std::max(share, present.cpus / team->cpus);
+    if (team->gpus > 0)
+        share = std::max(share, present.gpus / team->gpus);
     return share;
 }
 
-bool team_queues::can_ever_run(const job_spec &s) const {
-    auto *t = find(s.team);
-    if (!t)
+bool team_queues::can_ever_run(const job_spec &spec) const {
+    const auto *team = find(spec.team);
+    if (!team)
         return false;
-    double n = s.shape == job_shape::service ? s.tasks : 1;
-    return (t->cpus_max <= 0 || n * s.cpus <= t->cpus_max + tiny) &&
-           (t->gpus_max <= 0 || n * s.gpus <= t->gpus_max + tiny);
+    double tasks = spec.shape == job_shape::service ? spec.tasks : 1;
+    return permitted(tasks * spec.cpus, team->cpus_max) &&
+           permitted(tasks * spec.gpus, team->gpus_max);
 }
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/team_queues.hpp
+++ b/src/fairness/team_queues.hpp
@@ -1,4 +1,4 @@
-// A queue for each team, served in turn by shares, inside the teams' limits.
+// What each team uses, compared with its guarantee and its limit.
 #pragma once
 #include "settings/settings.hpp"
 #include "wire/types.hpp"
@@ -8,28 +8,34 @@
 
 namespace spindlecroft::fairness {
 
+/// What a team's present tasks take.
 struct usage {
-    double cpus = 0, gpus = 0;
+    double cpus = 0;
+    double gpus = 0;
 };
 
+/// The teams of the settings and their usage. Teams are served in turn, by share_used.
 class team_queues {
   public:
     explicit team_queues(std::vector<settings::team> teams);
-    const settings::team *find(const std::string &team) const;
+    /// The team's settings, or nullptr for an unknown team.
+    [[nodiscard]] const settings::team *find(const std::string &team) const;
     void clear_usage();
-    void add(const std::string &team, const job_spec &s, int sign = 1);
-    usage used(const std::string &team) const;
-    // One more such task stays within the team's limit.
-    bool within_limit(const job_spec &s) const;
-    bool within_guarantee(const job_spec &s) const;
-    // Turn by shares: the team that uses least for its share goes first.
-    double share_used(const std::string &team) const;
-    // The limit permits the job at all (array: one task; service: all tasks).
-    bool can_ever_run(const job_spec &s) const;
+    /// Counts one task of the job in (sign 1) or out (sign -1).
+    void add(const std::string &team, const job_spec &spec, int sign = 1);
+    [[nodiscard]] usage used(const std::string &team) const;
+    /// One more such task stays within the team's limit.
+    [[nodiscard]] bool within_limit(const job_spec &spec) const;
+    /// One more such task stays within what the team is guaranteed.
+    [[nodiscard]] bool within_guarantee(const job_spec &spec) const;
+    /// Turn by shares: the team that uses least for its share goes first.
+    [[nodiscard]] double share_used(const std::string &name) const;
+    /// The limit permits the job at all (array: one task; service: all tasks).
+    [[nodiscard]] bool can_ever_run(const job_spec &spec) const;
 
   private:
     std::vector<settings::team> teams_;
-    std::map<std::string, usage> used_;
+    std::map<std::string, usage> used_; // by team
 };
 
 } // namespace spindlecroft::fairness
