--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -1,6 +1,6 @@
 #include "catalog/job_cache.hpp"
 #include "constants.hpp"
-#include "control/scheduler.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::catalog {
 
@@ -91,7 +91,7 @@
     if (ended_reads_ >= c::ended_reads)
         co_return std::nullopt;
     ++ended_reads_;
-    auto i = co_await state_.get(control::ended_key(id), store::request_priority::done);
+    auto i = co_await state_.get(store::keys::ended_job(id), store::request_priority::done);
     --ended_reads_;
     if (!i)
         co_return std::nullopt;
@@ -110,11 +110,11 @@
 }
 
 awaitable<bool> job_cache::load() {
-    auto a = co_await state_.list(control::active_prefix, store::request_priority::accept);
+    auto a = co_await state_.list(store::keys::active_jobs_prefix, store::request_priority::accept);
     if (!a)
         co_return false;
     std::map<std::string, cached_job> fresh;
-    const std::string prefix = control::active_prefix;
+    const std::string prefix = store::keys::active_jobs_prefix;
     for (auto &i : a->items) {
         try {
             fresh[i.key.substr(prefix.size())] = {wire::parse_job_record(i.value), i.version};
@@ -144,7 +144,8 @@
 void job_cache::apply(const wire::range_answer &a) {
     if (a.revision <= revision_)
         return;
-    const std::string active = control::active_prefix, ended = control::ended_prefix;
+    const std::string active = store::keys::active_jobs_prefix,
+                      ended = store::keys::ended_jobs_prefix;
     for (auto &i : a.items) {
         if (i.version <= revision_)
             continue;
@@ -180,7 +181,7 @@
         }
         bool gone = false;
         auto since = revision_;
-        auto w = co_await state_.watch(control::jobs_prefix, since, c::watch_hold_ms,
+        auto w = co_await state_.watch(store::keys::jobs_prefix, since, c::watch_hold_ms,
                                        store::request_priority::placement, gone);
         if (gone)
             reload_ = true;
@@ -227,7 +228,7 @@
         auto serving = reads_wanted_;
         auto sent = steady_now();
         bool gone = false;
-        auto w = co_await state_.watch(control::jobs_prefix, revision_, 0,
+        auto w = co_await state_.watch(store::keys::jobs_prefix, revision_, 0,
                                        store::request_priority::accept, gone);
         if (gone)
             reload_ = true;
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -2,6 +2,7 @@
 #include "constants.hpp"
 #include "control/answers.hpp"
 #include "control/leadership.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -23,7 +24,7 @@
         auto k = l.lock();
         if (!k || !may_act(k))
             return std::nullopt;
-        return txn_condition{leader_key, member_.token()};
+        return txn_condition{store::keys::leader, member_.token()};
     };
     l->commits.fence_failed = l->records.fence_failed = [this] { member_.want_check(); };
     net::spawn(io_, fail_over(l), "take over");
@@ -48,13 +49,14 @@
     std::uint64_t types_version = 0;
     bool types_unreadable = false;
     while (keep_trying() && types.empty()) {
-        auto i = co_await state_.get(types_key, store::request_priority::leadership);
+        auto i =
+            co_await state_.get(store::keys::machine_types, store::request_priority::leadership);
         if (i && i->found) {
             types_version = i->kv.version;
             try {
                 types = wire::parse_machine_types(i->kv.value);
             } catch (const wire::malformed_message &e) {
-                spdlog::error("{}: can't be read: {}", types_key, e.what());
+                spdlog::error("{}: can't be read: {}", store::keys::machine_types, e.what());
                 types_unreadable = true;
             }
         }
@@ -74,13 +76,17 @@
     std::optional<wire::range_answer> placed, done, rentals, suspects;
     while (keep_trying() && !(placed && done && rentals && suspects)) {
         if (!suspects)
-            suspects = co_await state_.list(suspects_key, store::request_priority::leadership);
+            suspects = co_await state_.list(store::keys::suspect_jobs,
+                                            store::request_priority::leadership);
         if (!placed)
-            placed = co_await state_.list(placed_prefix, store::request_priority::leadership);
+            placed = co_await state_.list(store::keys::placements_prefix,
+                                          store::request_priority::leadership);
         if (!done)
-            done = co_await state_.list(done_prefix, store::request_priority::leadership);
+            done = co_await state_.list(store::keys::done_tasks_prefix,
+                                        store::request_priority::leadership);
         if (!rentals)
-            rentals = co_await state_.list(rental_prefix, store::request_priority::leadership);
+            rentals = co_await state_.list(store::keys::rentals_prefix,
+                                           store::request_priority::leadership);
         if (!(placed && done && rentals && suspects))
             co_await net::sleep_for(c::state_retry);
     }
@@ -109,19 +115,19 @@
         }
     };
     each(
-        *done, l->records, done_prefix,
+        *done, l->records, store::keys::done_tasks_prefix,
         [&](const std::string &name, const std::string &value) {
             core->load_done(name, wire::parse_done(value));
         },
         [] {}); // these tasks run again
     each(
-        *placed, l->commits, placed_prefix,
+        *placed, l->commits, store::keys::placements_prefix,
         [&](const std::string &name, const std::string &value) {
             core->load_placed(name, wire::parse_placed(value), now);
         },
         [&] { core->load_unreadable_placements(now); });
     each(
-        *rentals, l->commits, rental_prefix,
+        *rentals, l->commits, store::keys::rentals_prefix,
         [&](const std::string &name, const std::string &value) {
             core->load_rental(name, wire::parse_rental_record(value), now);
         },
@@ -137,11 +143,11 @@
     std::erase_if(l->cancels, [&](auto &n) { return n.second.revision <= cache_.revision(); });
     for (auto &[id, n] : l->cancels)
         core->on_cancel(n, now);
-    l->commits.set_version(types_key, types_version);
+    l->commits.set_version(store::keys::machine_types, types_version);
     if (types_version == 0 || types_unreadable) {
         store::unit u;
         u.owned = true;
-        u.ops = {{types_key, wire::encode_machine_types(types), 0}};
+        u.ops = {{store::keys::machine_types, wire::encode_machine_types(types), 0}};
         u.priority = store::request_priority::accept;
         l->commits.submit(std::move(u));
     }
@@ -208,8 +214,8 @@
                                     steady_now());
                 l->wake.notify();
             };
-            bool ended = w.ops.front().key.starts_with(jobs_prefix) ||
-                         w.ops.front().key.starts_with(done_prefix) ||
+            bool ended = w.ops.front().key.starts_with(store::keys::jobs_prefix) ||
+                         w.ops.front().key.starts_with(store::keys::done_tasks_prefix) ||
                          w.kind == write_kind::suspects;
             (ended ? l->records : l->commits).submit(std::move(u));
         }
--- a/src/control/peer_exchange.cpp
+++ b/src/control/peer_exchange.cpp
@@ -2,6 +2,7 @@
 #include "constants.hpp"
 #include "control/answers.hpp"
 #include "control/leadership.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -58,7 +59,7 @@
 
 awaitable<void> controller::load_types() {
     while (!stopping_ && !types_) {
-        auto i = co_await state_.get(types_key, store::request_priority::accept);
+        auto i = co_await state_.get(store::keys::machine_types, store::request_priority::accept);
         if (i && i->found) {
             try {
                 auto t = wire::parse_machine_types(i->kv.value);
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -10,22 +10,6 @@
 using catalog::attempt_phase;
 namespace c = constants;
 
-std::string active_key(const std::string &job) {
-    return active_prefix + job;
-}
-std::string ended_key(const std::string &job) {
-    return ended_prefix + job;
-}
-std::string placed_key(const std::string &segment) {
-    return placed_prefix + segment;
-}
-std::string done_key(const std::string &record) {
-    return done_prefix + record;
-}
-std::string rental_key(const std::string &round) {
-    return rental_prefix + round;
-}
-
 scheduler::scheduler(const settings::settings &s, std::vector<machine_type> types)
     : settings_(s), types_(std::move(types)), teams_(s.teams) {}
 
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -23,22 +23,6 @@
 
 namespace spindlecroft::control {
 
-// Keys in the key-value store.
-std::string active_key(const std::string &job);
-std::string ended_key(const std::string &job);
-std::string placed_key(const std::string &segment);
-std::string done_key(const std::string &record);
-std::string rental_key(const std::string &round);
-inline constexpr const char *active_prefix = "j/a/";
-inline constexpr const char *ended_prefix = "j/e/";
-inline constexpr const char *jobs_prefix = "j/";
-inline constexpr const char *placed_prefix = "p/";
-inline constexpr const char *done_prefix = "d/";
-inline constexpr const char *rental_prefix = "m/";
-inline constexpr const char *types_key = "c/types";
-inline constexpr const char *suspects_key = "f/suspects";
-inline constexpr const char *leader_key = "leader";
-
 enum class write_kind { placed, done, job_end, cleanup, rental_request, suspects };
 
 // A change that must be durable before its consequence.
--- a/src/control/scheduler_records.cpp
+++ b/src/control/scheduler_records.cpp
@@ -1,6 +1,7 @@
 // The scheduler's durable records: what is written, in what order, and what follows once it is.
 #include "constants.hpp"
 #include "control/scheduler.hpp"
+#include "store/keys.hpp"
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -14,13 +15,13 @@
     durable_write w;
     w.kind = write_kind::job_end;
     w.job = j.spec.id;
-    w.when.push_back({active_key(w.job), j.version});
-    w.ops.push_back({active_key(w.job), "", 0});
+    w.when.push_back({store::keys::active_job(w.job), j.version});
+    w.ops.push_back({store::keys::active_job(w.job), "", 0});
     wire::ended_record e;
     e.state = j.cancelled ? job_state::cancelled : job_state::done;
     e.done = j.done_seen;
     e.at = wall_clock_.to_wall(now); // from then on those that wait for it are ready
-    w.ops.push_back({ended_key(w.job), wire::encode_ended(e), 0});
+    w.ops.push_back({store::keys::ended_job(w.job), wire::encode_ended(e), 0});
     return w;
 }
 
@@ -88,13 +89,13 @@
                 seg.bytes += wire::placed_bytes(t);
                 // A cancel changes the job's record, so it wins over a placement made meanwhile.
                 if (jobs.insert(ref.job).second)
-                    w.when.push_back({active_key(ref.job), j->version});
+                    w.when.push_back({store::keys::active_job(ref.job), j->version});
                 w.attempts.emplace_back(ref, t.attempt);
                 seg.tasks.push_back(std::move(t));
             }
             waiting.insert(waiting.begin(), later.begin(), later.end());
             if (!w.attempts.empty()) {
-                w.ops.push_back({placed_key(name), wire::encode_placed(seg.tasks), 0});
+                w.ops.push_back({store::keys::placements(name), wire::encode_placed(seg.tasks), 0});
                 if (kind == 0 && !full)
                     next_placement_ =
                         now + seconds{1} / (c::placement_share * c::leader_write_share *
@@ -136,7 +137,7 @@
             r.at = wall_clock_.to_wall(list.front()->asked_at);
             for (auto *s : list)
                 r.requests.push_back(s->what);
-            w.ops.push_back({rental_key(name), wire::encode_rental_record(r), 0});
+            w.ops.push_back({store::keys::rentals(name), wire::encode_rental_record(r), 0});
         } else {
             bool open = false;
             for (auto *s : list) {
@@ -148,7 +149,7 @@
             }
             if (open)
                 continue;
-            w.ops.push_back({rental_key(name), "", 0});
+            w.ops.push_back({store::keys::rentals(name), "", 0});
         }
         round.busy = true;
         out.push_back(std::move(w));
@@ -171,7 +172,7 @@
             ++i;
             continue;
         }
-        clean_up(placed_key(i->first));
+        clean_up(store::keys::placements(i->first));
         i = segments_.erase(i);
     }
     for (auto i = done_records_.begin(); i != done_records_.end();) {
@@ -181,7 +182,7 @@
             ++i;
             continue;
         }
-        clean_up(done_key(i->first));
+        clean_up(store::keys::done_tasks(i->first));
         i = done_records_.erase(i);
     }
 }
@@ -257,7 +258,7 @@
         }
         if (w.done.empty())
             continue;
-        w.ops.push_back({done_key(name), wire::encode_done(parts), 0});
+        w.ops.push_back({store::keys::done_tasks(name), wire::encode_done(parts), 0});
         r.busy = true;
         out.push_back(std::move(w));
         --room;
@@ -284,7 +285,7 @@
     suspects_busy_ = true;
     durable_write w;
     w.kind = write_kind::suspects;
-    w.ops.push_back({suspects_key, wire::encode_suspects(jobs), 0});
+    w.ops.push_back({store::keys::suspect_jobs, wire::encode_suspects(jobs), 0});
     w.suspects = std::move(jobs);
     out.push_back(std::move(w));
 }
--- a/src/control/submissions.cpp
+++ b/src/control/submissions.cpp
@@ -2,6 +2,7 @@
 #include "constants.hpp"
 #include "control/answers.hpp"
 #include "control/controller.hpp"
+#include "store/keys.hpp"
 #include <algorithm>
 #include <fmt/format.h>
 
@@ -116,8 +117,8 @@
     auto state = record.cancelled ? job_state::cancelled : job_state::pending;
     store::unit u;
     u.priority = store::request_priority::accept;
-    u.when = {{active_key(spec.id), 0}, {ended_key(spec.id), 0}};
-    u.ops = {{active_key(spec.id), value, 0}};
+    u.when = {{store::keys::active_job(spec.id), 0}, {store::keys::ended_job(spec.id), 0}};
+    u.ops = {{store::keys::active_job(spec.id), value, 0}};
     auto how = co_await commit(std::move(u), c::user_request - c::cancel_round);
     if (how == store::unit_outcome::committed)
         co_return response{201, wire::encode_accepted(spec.id, state), 0, false};
--- a/src/control/user_requests.cpp
+++ b/src/control/user_requests.cpp
@@ -3,6 +3,7 @@
 #include "constants.hpp"
 #include "control/answers.hpp"
 #include "control/leadership.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -136,8 +137,8 @@
             catalog::cancelled_record(j->record, net::wall_now(), settings_.value_bytes());
         store::unit u;
         u.priority = store::request_priority::cancel;
-        u.when = {{active_key(id), j->version}};
-        u.ops = {{active_key(id), wire::encode_job_record(record), 0}};
+        u.when = {{store::keys::active_job(id), j->version}};
+        u.ops = {{store::keys::active_job(id), wire::encode_job_record(record), 0}};
         // Durable first, then known to whoever may renew leases, then told: also where the answer
         // from the key-value store comes after the user has gone.
         u.noted = [this, id, at = record.cancelled_at](std::uint64_t revision) {
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -1,5 +1,6 @@
 #include "membership/member.hpp"
 #include "constants.hpp"
+#include "store/keys.hpp"
 #include <boost/random/uniform_real_distribution.hpp>
 #include <fmt/format.h>
 #include <random>
@@ -10,8 +11,6 @@
 using net::awaitable;
 using net::steady_now;
 
-static constexpr const char *leader_key = "leader";
-
 member::member(net::asio::io_context &io, const settings::settings &s,
                store::key_value_client &state)
     : io_(io), settings_(s), state_(state), random_(std::random_device()()),
@@ -247,7 +246,7 @@
     while (!stopping_) {
         auto now = steady_now();
         if (!since) {
-            auto i = co_await state_.get(leader_key, store::request_priority::leadership);
+            auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
             if (!i) {
                 co_await wake_.wait_for(c::state_retry);
                 continue;
@@ -276,7 +275,7 @@
             since = i->kv.version;
         }
         bool gone = false;
-        auto w = co_await state_.watch(leader_key, *since, c::watch_hold_ms,
+        auto w = co_await state_.watch(store::keys::leader, *since, c::watch_hold_ms,
                                        store::request_priority::leadership, gone);
         if (!w || !w->items.empty())
             since.reset();
@@ -315,8 +314,8 @@
     }
     raises_ = 0;
     auto value = wire::encode_leader({settings_.node, incarnation_, 0});
-    std::vector<txn_condition> when{{leader_key, 0}};
-    std::vector<txn_op> ops{{leader_key, value, *lease}};
+    std::vector<txn_condition> when{{store::keys::leader, 0}};
+    std::vector<txn_op> ops{{store::keys::leader, value, *lease}};
     net::permission permitted = [this] { return authority_.majority(steady_now()); };
     auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
                                     std::move(permitted));
@@ -325,7 +324,7 @@
         version = t.revision;
     } else if (t.how == store::txn_outcome::unknown) {
         // It may have been executed, or may yet be; only our own key counts.
-        auto i = co_await state_.get(leader_key, store::request_priority::leadership);
+        auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
         if (i && i->found && i->kv.lease == *lease)
             version = i->kv.version;
     }
@@ -377,8 +376,8 @@
         co_return;
     raising_ = true;
     auto value = wire::encode_leader({settings_.node, incarnation_, raises_ + 1});
-    std::vector<txn_condition> when{{leader_key, token_}};
-    std::vector<txn_op> ops{{leader_key, value, lease_}};
+    std::vector<txn_condition> when{{store::keys::leader, token_}};
+    std::vector<txn_op> ops{{store::keys::leader, value, lease_}};
     net::permission permitted = [this] { return leading(); };
     auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
                                     std::move(permitted));
@@ -386,7 +385,7 @@
     if (t.how == store::txn_outcome::committed) {
         version = t.revision; // its condition held, so nothing raised the token meanwhile
     } else if (t.how == store::txn_outcome::unknown || t.how == store::txn_outcome::conflict) {
-        auto i = co_await state_.get(leader_key, store::request_priority::leadership);
+        auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
         if (i && i->found && i->kv.lease == lease_)
             version = i->kv.version;
     }
@@ -411,7 +410,7 @@
         co_return;
     raising_ = true;
     auto lease = lease_;
-    auto i = co_await state_.get(leader_key, store::request_priority::leadership);
+    auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
     raising_ = false;
     if (!i || !leader_ || lease != lease_)
         co_return;
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -1,5 +1,6 @@
 #include "store/committer.hpp"
 #include "constants.hpp"
+#include "store/keys.hpp"
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -85,7 +86,7 @@
 
 // Only keys that are written again need their version kept.
 void committer::note(const txn_op &o, std::uint64_t revision) {
-    if (o.value.empty() || o.key.starts_with("j/"))
+    if (o.value.empty() || o.key.starts_with(keys::jobs_prefix))
         versions_.erase(o.key);
     else
         versions_[o.key] = revision;
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -1,4 +1,5 @@
 #include "trace_runner.hpp"
+#include "store/keys.hpp"
 #include <fmt/format.h>
 #include <map>
 #include <memory>
@@ -321,7 +322,7 @@
             core->load_placed(key.substr(2), wire::parse_placed(value), now);
         else if (key.rfind("m/", 0) == 0)
             core->load_rental(key.substr(2), wire::parse_rental_record(value), now);
-        else if (key == control::suspects_key)
+        else if (key == store::keys::suspect_jobs)
             core->load_suspects(wire::parse_suspects(value), now);
     }
 };
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -3,6 +3,7 @@
 // leaders that follow one another at any step. Every rule is checked as an invariant.
 #include "constants.hpp"
 #include "membership/cancel_exchange.hpp"
+#include "store/keys.hpp"
 #include "trace_runner.hpp"
 #include <algorithm>
 #include <boost/random/mersenne_twister.hpp>
@@ -579,7 +580,7 @@
                     core->load_placed(key.substr(2), wire::parse_placed(value), now);
                 if (pass == 1 && key[0] == 'm')
                     core->load_rental(key.substr(2), wire::parse_rental_record(value), now);
-                if (pass == 1 && key == control::suspects_key)
+                if (pass == 1 && key == store::keys::suspect_jobs)
                     core->load_suspects(wire::parse_suspects(value), now);
             }
         core->loaded(now);
