--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -96,15 +96,15 @@
     if (!i)
         co_return std::nullopt;
     if (!i->found) {
-        remember_absent(id, i->at.revision);
+        remember_absent(id, i->revision);
         co_return std::optional<std::optional<wire::ended_record>>(std::in_place, std::nullopt);
     }
     try {
-        auto r = wire::parse_ended(i->kv.value);
+        auto r = wire::parse_ended(i->item.value);
         remember(id, r);
         co_return std::optional<std::optional<wire::ended_record>>(std::in_place, r);
     } catch (const wire::malformed_message &e) {
-        spdlog::error("{}: can't be read: {}", i->kv.key, e.what());
+        spdlog::error("{}: can't be read: {}", i->item.key, e.what());
         co_return std::nullopt;
     }
 }
@@ -171,6 +171,19 @@
     revision_ = a.revision;
 }
 
+void job_cache::take_changes(const store::watch_result &watched) {
+    switch (watched.outcome) {
+    case store::watch_outcome::changes:
+        apply(watched.changes);
+        break;
+    case store::watch_outcome::compacted:
+        reload_ = true;
+        break;
+    case store::watch_outcome::failed:
+        break;
+    }
+}
+
 // Changes as they come, without anybody asking.
 awaitable<void> job_cache::run_watch() {
     while (!stopping_) {
@@ -179,15 +192,11 @@
                 co_await net::sleep_for(c::state_retry);
             continue;
         }
-        bool gone = false;
-        auto since = revision_;
-        auto w = co_await state_.watch(store::keys::jobs_prefix, since, c::watch_hold_ms,
-                                       store::request_priority::placement, gone);
-        if (gone)
-            reload_ = true;
-        else if (w)
-            apply(*w);
-        co_await net::sleep_for(!w        ? c::state_retry
+        auto watched = co_await state_.watch(store::keys::jobs_prefix, revision_, c::watch_hold_ms,
+                                             store::request_priority::placement);
+        take_changes(watched);
+        bool answered = watched.outcome == store::watch_outcome::changes;
+        co_await net::sleep_for(!answered ? c::state_retry
                                 : prompt_ ? c::watch_gap
                                           : c::follower_watch_gap);
     }
@@ -227,13 +236,10 @@
         }
         auto serving = reads_wanted_;
         auto sent = steady_now();
-        bool gone = false;
-        auto w = co_await state_.watch(store::keys::jobs_prefix, revision_, 0,
-                                       store::request_priority::accept, gone);
-        if (gone)
-            reload_ = true;
-        if (w) {
-            apply(*w);
+        auto watched = co_await state_.watch(store::keys::jobs_prefix, revision_, 0,
+                                             store::request_priority::accept);
+        take_changes(watched);
+        if (watched.outcome == store::watch_outcome::changes) {
             fresh_at_ = sent;
             reads_done_ = serving;
             served_.notify();
--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -58,6 +58,7 @@
   private:
     net::awaitable<bool> load();
     void apply(const wire::range_answer &a);
+    void take_changes(const store::watch_result &watched);
     void take_active(const std::string &id, cached_job job);
     void drop_active(const std::string &id);
     // Notes in the graph what is at hand of the job's predecessors.
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -52,9 +52,9 @@
         auto i =
             co_await state_.get(store::keys::machine_types, store::request_priority::leadership);
         if (i && i->found) {
-            types_version = i->kv.version;
+            types_version = i->item.version;
             try {
-                types = wire::parse_machine_types(i->kv.value);
+                types = wire::parse_machine_types(i->item.value);
             } catch (const wire::malformed_message &e) {
                 spdlog::error("{}: can't be read: {}", store::keys::machine_types, e.what());
                 types_unreadable = true;
@@ -173,14 +173,14 @@
     case write_kind::job_end:
         return store::request_priority::accept; // users wait for it
     case write_kind::done:
-        return store::request_priority::rest;
+        return store::request_priority::background;
     case write_kind::rental_request:
         return store::request_priority::placement;
     case write_kind::cleanup:
     case write_kind::suspects:
-        return store::request_priority::rest;
+        return store::request_priority::background;
     }
-    return store::request_priority::rest;
+    return store::request_priority::background;
 }
 
 void controller::tell_predecessor_ends(scheduler &core, time_point now) const {
--- a/src/control/peer_exchange.cpp
+++ b/src/control/peer_exchange.cpp
@@ -62,7 +62,7 @@
         auto i = co_await state_.get(store::keys::machine_types, store::request_priority::accept);
         if (i && i->found) {
             try {
-                auto t = wire::parse_machine_types(i->kv.value);
+                auto t = wire::parse_machine_types(i->item.value);
                 if (!types_)
                     types_ = std::move(t);
             } catch (const wire::malformed_message &e) {
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -268,20 +268,20 @@
                 co_return;
             }
             try {
-                key_holder_ = wire::parse_leader(i->kv.value).node;
+                key_holder_ = wire::parse_leader(i->item.value).node;
             } catch (const wire::malformed_message &) {
                 key_holder_.clear();
             }
-            since = i->kv.version;
+            since = i->item.version;
         }
-        bool gone = false;
-        auto w = co_await state_.watch(store::keys::leader, *since, c::watch_hold_ms,
-                                       store::request_priority::leadership, gone);
-        if (!w || !w->items.empty())
+        auto watched = co_await state_.watch(store::keys::leader, *since, c::watch_hold_ms,
+                                             store::request_priority::leadership);
+        bool answered = watched.outcome == store::watch_outcome::changes;
+        if (!answered || !watched.changes.items.empty())
             since.reset();
         else
-            since = std::max(*since, w->revision);
-        if (!w)
+            since = std::max(*since, watched.changes.revision);
+        if (!answered)
             co_await wake_.wait_for(c::state_retry);
     }
 }
@@ -320,13 +320,13 @@
     auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
                                     std::move(permitted));
     std::uint64_t version = 0;
-    if (t.how == store::txn_outcome::committed) {
+    if (t.outcome == store::transaction_outcome::committed) {
         version = t.revision;
-    } else if (t.how == store::txn_outcome::unknown) {
+    } else if (t.outcome == store::transaction_outcome::unknown) {
         // It may have been executed, or may yet be; only our own key counts.
         auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
-        if (i && i->found && i->kv.lease == *lease)
-            version = i->kv.version;
+        if (i && i->found && i->item.lease == *lease)
+            version = i->item.version;
     }
     now = steady_now();
     // The votes must still hold now that the key is ours: else the former leader may have got
@@ -362,9 +362,9 @@
     renewing_ = false;
     if (!leader_ || lease != lease_)
         co_return;
-    if (r == store::key_value_client::renewal::ok)
+    if (r == store::lease_renewal::renewed)
         authority_.lease_renewed(sent, c::leader_lease);
-    else if (r == store::key_value_client::renewal::ended) {
+    else if (r == store::lease_renewal::ended) {
         // The key is gone and with it every write: others may stand as soon as votes end.
         authority_.lease_ended();
         step_down("its lease at the state service ended");
@@ -382,12 +382,13 @@
     auto t = co_await state_.commit(when, ops, store::request_priority::leadership,
                                     std::move(permitted));
     std::uint64_t version = 0;
-    if (t.how == store::txn_outcome::committed) {
+    if (t.outcome == store::transaction_outcome::committed) {
         version = t.revision; // its condition held, so nothing raised the token meanwhile
-    } else if (t.how == store::txn_outcome::unknown || t.how == store::txn_outcome::conflict) {
+    } else if (t.outcome == store::transaction_outcome::unknown ||
+               t.outcome == store::transaction_outcome::conflict) {
         auto i = co_await state_.get(store::keys::leader, store::request_priority::leadership);
-        if (i && i->found && i->kv.lease == lease_)
-            version = i->kv.version;
+        if (i && i->found && i->item.lease == lease_)
+            version = i->item.version;
     }
     raising_ = false;
     take_token(version);
@@ -414,8 +415,8 @@
     raising_ = false;
     if (!i || !leader_ || lease != lease_)
         co_return;
-    if (i->found && i->kv.lease == lease_)
-        take_token(i->kv.version);
+    if (i->found && i->item.lease == lease_)
+        take_token(i->item.version);
     else
         step_down("the leader key is not ours any more");
 }
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -26,8 +26,8 @@
     for (auto i : order) {
         auto &u = waiting[i];
         // What nobody waits for does not make a transaction larger that somebody waits for.
-        if (u.priority == request_priority::rest && !chosen.empty() &&
-            waiting[order.front()].priority != request_priority::rest)
+        if (u.priority == request_priority::background && !chosen.empty() &&
+            waiting[order.front()].priority != request_priority::background)
             break;
         std::size_t size = 0;
         for (auto &o : u.ops)
@@ -184,21 +184,21 @@
 awaitable<committer::next_step> committer::send_once(transaction &t, std::vector<unit> &batch) {
     net::permission may_send = [this] { return permitted(); };
     auto answer = co_await state_.commit(t.conditions, t.ops, t.priority, std::move(may_send));
-    switch (answer.how) {
-    case txn_outcome::committed:
+    switch (answer.outcome) {
+    case transaction_outcome::committed:
         on_committed(batch, answer.revision);
         co_return next_step::settled;
-    case txn_outcome::unknown:
+    case transaction_outcome::unknown:
         t.unsure = true;
         co_await net::sleep_for(c::state_retry);
         // The same again: its conditions hold at most once.
         co_return again_if_permitted(batch);
-    case txn_outcome::refused:
+    case transaction_outcome::refused:
         co_await net::sleep_for(c::state_retry);
         co_return on_refused(t, batch);
-    case txn_outcome::bad:
+    case transaction_outcome::rejected:
         co_return co_await on_too_large(t, answer.error, batch);
-    case txn_outcome::conflict:
+    case transaction_outcome::conflict:
         break;
     }
     std::set<std::string> failed(answer.failed.begin(), answer.failed.end());
@@ -305,8 +305,8 @@
     for (;;) {
         auto i = co_await state_.get(written->key, t.priority);
         if (i) {
-            bool applied = i->found && wire::same_json(i->kv.value, written->value);
-            co_return own_copy{applied, applied ? i->kv.version : 0};
+            bool applied = i->found && wire::same_json(i->item.value, written->value);
+            co_return own_copy{applied, applied ? i->item.version : 0};
         }
         if (!permitted())
             co_return std::nullopt;
@@ -357,7 +357,7 @@
 awaitable<void> committer::read_version(const std::string &key, request_priority priority) {
     auto i = co_await state_.get(key, priority);
     if (i && i->found)
-        versions_[key] = i->kv.version;
+        versions_[key] = i->item.version;
     else if (i)
         versions_.erase(key);
 }
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -22,7 +22,7 @@
 struct unit {
     std::vector<txn_condition> when; // on keys that others write too
     std::vector<txn_op> ops;
-    request_priority priority = request_priority::rest;
+    request_priority priority = request_priority::background;
     bool owned = false; // keys without a condition are ours alone; their versions are known here
     std::optional<time_point> give_up_at; // not sent any more from then on
     std::function<void(unit_outcome, std::uint64_t revision)> result;
@@ -54,7 +54,7 @@
         std::vector<txn_condition> conditions;
         std::vector<txn_op> ops;
         std::optional<txn_condition> fence;
-        request_priority priority = request_priority::rest;
+        request_priority priority = request_priority::background;
         bool unsure = false;                // a copy of it may have been, or may yet be, executed
         std::size_t kept_after_refusal = 0; // units
     };
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -1,31 +1,72 @@
 #include "store/key_value_client.hpp"
 #include "constants.hpp"
+#include <algorithm>
 #include <fmt/format.h>
+#include <type_traits>
 
 namespace spindlecroft::store {
 
 namespace c = constants;
 using net::awaitable;
 
-bool budget::take(double n, request_priority u, time_point now) {
-    if (last_)
-        tokens_ = std::min(burst_, tokens_ + (now - *last_).count() * rate_);
-    last_ = now;
-    // Each step down in urgency leaves another tenth of the burst to those above.
-    double reserve = 0.08 * static_cast<int>(u) * burst_;
-    // Guards against starving large transactions: what is above the reserve lets any through, and a
-    // large one leaves a debt that all wait for. Asking for its whole size above the reserve let
-    // single submissions go before it for ever (simulated machines, 2,250 of them, no task started
-    // for a minute).
-    if (tokens_ < std::min(reserve + std::min(n, 1.0), burst_))
-        return false;
-    tokens_ -= n;
-    return true;
+namespace {
+
+constexpr std::size_t idle_connections = 8;  // kept open to the store
+constexpr seconds budget_poll{0.02};         // between two looks for room in the budget
+constexpr double least_write_rate = 2.0;     // writes a second
+constexpr double leader_request_share = 0.5; // of the requests; the others share the rest
+
+constexpr int http_ok = 200;
+constexpr int http_bad_request = 400;
+constexpr int http_not_found = 404;
+constexpr int http_conflict = 409;
+constexpr int http_gone = 410;
+constexpr int http_too_many_requests = 429;
+constexpr int http_unavailable = 503;
+
+bool answered_with(const net::reply &reply, int status) {
+    return reply.how == net::outcome::answered && reply.status == status;
+}
+
+// What the function makes of an answer, or nothing if the answer can't be read.
+template <class Parse>
+auto parsed(Parse parse) -> std::optional<std::invoke_result_t<Parse>> {
+    try {
+        return parse();
+    } catch (const wire::malformed_message &error) {
+        spdlog::warn("state service: {}", error.what());
+        return std::nullopt;
+    }
+}
+
+// May throw malformed_message.
+transaction_result parse_transaction(const net::reply &reply) {
+    transaction_result result;
+    if (reply.status == http_ok) {
+        result.outcome = transaction_outcome::committed;
+        result.revision = wire::parse_txn(reply.body).revision;
+    } else if (reply.status == http_conflict) {
+        auto answer = wire::parse_txn(reply.body);
+        result.outcome = transaction_outcome::conflict;
+        result.failed = std::move(answer.failed);
+        result.revision = answer.revision;
+    } else if (reply.status == http_bad_request) {
+        result.outcome = transaction_outcome::rejected;
+        result.error = reply.body;
+    } else if (reply.status == http_too_many_requests || reply.status == http_unavailable) {
+        result.outcome = transaction_outcome::refused; // these were not executed
+    } else {
+        result.outcome = transaction_outcome::unknown; // anything else may have been
+    }
+    return result;
 }
 
-key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &s)
-    : client_(io, s.state, 8), settings_(s), requests_(1), writes_(1),
-      write_rate_(s.state_write_rps, s.next_state_write_rps), last_ok_(net::steady_now()) {
+} // namespace
+
+key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &settings)
+    : client_(io, settings.state, idle_connections), settings_(settings), requests_(1), writes_(1),
+      write_rate_(settings.state_write_rps, settings.next_state_write_rps),
+      last_ok_(net::steady_now()) {
     leading(false);
 }
 
@@ -34,88 +75,78 @@
     set_rates();
 }
 
+// All nodes together stay below the limits; the leader's part is the larger one.
 void key_value_client::set_rates() {
-    bool yes = leading_;
-    // All nodes together stay below the limits; the leader's part is the larger one.
-    auto others = static_cast<double>(std::max<std::size_t>(1, settings_.members.size()));
-    double share = settings_.members.empty() ? 1.0
-                   : yes                     ? c::leader_write_share
-                                             : (1 - c::leader_write_share) / others;
-    double floor = settings_.members.empty() ? 1.0 : 0.5;
-    requests_.set_rate(c::state_share * settings_.state_rps *
-                       (settings_.members.empty() ? 1.0
-                        : yes                     ? floor
-                                                  : 0.5 / others));
-    writes_.set_rate(std::max(2.0, c::state_share * write_rate_.limit() * share));
-}
-
-bool write_line::may_go(ticket t, request_priority u, time_point now) const {
-    if (u <= request_priority::cancel || waiting_.empty() || waiting_.front() == *t)
-        return true;
-    return now - waiting_.front() <= constants::write_patience;
+    double request_share = 1.0;
+    double write_share = 1.0;
+    if (!settings_.members.empty()) {
+        auto others = static_cast<double>(settings_.members.size());
+        request_share = leading_ ? leader_request_share : leader_request_share / others;
+        write_share = leading_ ? c::leader_write_share : (1 - c::leader_write_share) / others;
+    }
+    requests_.set_rate(c::state_share * settings_.state_rps * request_share);
+    writes_.set_rate(
+        std::max(least_write_rate, c::state_share * write_rate_.limit() * write_share));
 }
 
-request_priority write_line::priority_of(ticket t, request_priority u, time_point now) const {
-    return now - *t > constants::write_patience ? std::min(u, request_priority::cancel) : u;
+awaitable<void> key_value_client::admit(request_priority priority, double write_count) {
+    // Leadership is never made to wait by our own bookkeeping.
+    if (priority == request_priority::leadership) {
+        auto now = net::steady_now();
+        (void)requests_.take(1, priority, now);
+        (void)writes_.take(write_count, priority, now);
+        co_return;
+    }
+    if (write_count <= 0) {
+        co_await admit_request(priority);
+        co_return;
+    }
+    write_queue_place place(queue_, net::steady_now());
+    auto raised = co_await admit_write(place, priority, write_count);
+    co_await admit_request(raised);
 }
 
-awaitable<void> key_value_client::admit(request_priority u, double writes) {
-    struct place {
-        std::shared_ptr<write_line> line;
-        write_line::ticket ticket;
-        explicit place(std::shared_ptr<write_line> l)
-            : line(std::move(l)), ticket(line->enter(net::steady_now())) {}
-        ~place() { line->leave(ticket); }
-    };
-    std::optional<place> in_line;
-    if (writes > 0)
-        in_line.emplace(line_);
+awaitable<request_priority> key_value_client::admit_write(const write_queue_place &place,
+                                                          request_priority priority,
+                                                          double write_count) {
     for (;;) {
         auto now = net::steady_now();
-        // Leadership is never made to wait by our own bookkeeping.
-        if (u == request_priority::leadership) {
-            requests_.take(1, u, now);
-            writes_.take(writes, u, now);
-            co_return;
-        }
-        auto priority = u;
-        bool turn = true;
-        if (in_line) {
-            priority = line_->priority_of(in_line->ticket, u, now);
-            turn = line_->may_go(in_line->ticket, u, now);
-        }
-        if (turn && (writes <= 0 || writes_.take(writes, priority, now))) {
-            while (!requests_.take(1, priority, net::steady_now()))
-                co_await net::sleep_for(seconds{0.02});
-            co_return;
-        }
-        co_await net::sleep_for(seconds{0.02});
+        auto raised = place.priority_of(priority, now);
+        if (place.may_go(priority, now) && writes_.take(write_count, raised, now))
+            co_return raised;
+        co_await net::sleep_for(budget_poll);
     }
 }
 
+awaitable<void> key_value_client::admit_request(request_priority priority) {
+    while (!requests_.take(1, priority, net::steady_now()))
+        co_await net::sleep_for(budget_poll);
+}
+
 awaitable<net::reply> key_value_client::call(std::string method, std::string target,
-                                             std::string body, seconds timeout, request_priority u,
-                                             double writes, net::permission permitted) {
-    co_await admit(u, writes);
+                                             std::string body, seconds timeout,
+                                             request_priority priority, double write_count,
+                                             net::permission permitted) {
+    co_await admit(priority, write_count);
     ++requests;
-    this->writes += static_cast<std::uint64_t>(writes);
-    auto r = co_await client_.call(std::move(method), std::move(target), std::move(body), timeout,
-                                   false, std::move(permitted));
-    if (r.how == net::outcome::answered) {
-        if (r.status == 429) {
-            requests_.drain();
-            if (writes > 0)
-                on_too_many_writes();
-        } else if (r.status == 503) {
-            failed_since_ok_ = true;
-        } else {
-            last_ok_ = net::steady_now();
-            failed_since_ok_ = false;
-        }
-    } else {
+    writes += static_cast<std::uint64_t>(write_count);
+    auto reply = co_await client_.call(std::move(method), std::move(target), std::move(body),
+                                       timeout, false, std::move(permitted));
+    note_reply(reply, write_count);
+    co_return reply;
+}
+
+void key_value_client::note_reply(const net::reply &reply, double write_count) {
+    if (answered_with(reply, http_too_many_requests)) {
+        requests_.drain();
+        if (write_count > 0)
+            on_too_many_writes();
+    } else if (reply.how != net::outcome::answered || reply.status == http_unavailable) {
         failed_since_ok_ = true;
+    } else {
+        last_ok_ = net::steady_now();
+        failed_since_ok_ = false;
     }
-    co_return r;
 }
 
 void key_value_client::on_too_many_writes() {
@@ -130,131 +161,91 @@
     return !failed_since_ok_ && silence(now) < c::served_within;
 }
 
-awaitable<std::optional<key_value_client::item>> key_value_client::get(std::string key,
-                                                                       request_priority u) {
-    auto r = co_await call("GET", "/kv/" + key, "", c::state_timeout, u);
-    item i;
-    try {
-        if (r.ok()) {
-            i.found = true;
-            i.kv = *wire::parse_item(r.body);
-            co_return i;
-        }
-        if (r.how == net::outcome::answered && r.status == 404) {
-            i.at.revision = wire::parse_revision(r.body);
-            co_return i;
-        }
-    } catch (const wire::malformed_message &e) {
-        spdlog::warn("state service: {}", e.what());
-    }
+awaitable<std::optional<key_lookup>> key_value_client::get(std::string key,
+                                                           request_priority priority) {
+    auto reply = co_await call("GET", "/kv/" + key, "", c::state_timeout, priority);
+    if (reply.ok())
+        co_return parsed([&] { return key_lookup{true, 0, *wire::parse_item(reply.body)}; });
+    if (answered_with(reply, http_not_found))
+        co_return parsed([&] { return key_lookup{false, wire::parse_revision(reply.body), {}}; });
     co_return std::nullopt;
 }
 
 awaitable<std::optional<wire::range_answer>> key_value_client::list(std::string prefix,
-                                                                    request_priority u) {
+                                                                    request_priority priority) {
     wire::range_answer all;
     std::string after;
     for (;;) {
-        auto r = co_await call("GET", wire::range_target(prefix, after, c::page_items), "",
-                               c::state_timeout * 2, u);
-        if (!r.ok())
+        auto reply = co_await call("GET", wire::range_target(prefix, after, c::page_items), "",
+                                   c::state_timeout * 2, priority);
+        if (!reply.ok())
             co_return std::nullopt;
-        try {
-            auto page = wire::parse_range(r.body);
-            // The first page's revision: a watch from there repeats what later pages hold.
-            if (after.empty())
-                all.revision = page.revision;
-            for (auto &i : page.items)
-                all.items.push_back(std::move(i));
-            if (!page.more || page.items.empty())
-                co_return all;
-            after = all.items.back().key;
-        } catch (const wire::malformed_message &e) {
-            spdlog::warn("state service: {}", e.what());
+        auto page = parsed([&] { return wire::parse_range(reply.body); });
+        if (!page)
             co_return std::nullopt;
-        }
+        // The first page's revision: a watch from there repeats what later pages hold.
+        if (after.empty())
+            all.revision = page->revision;
+        for (auto &item : page->items)
+            all.items.push_back(std::move(item));
+        if (!page->more || page->items.empty())
+            co_return all;
+        after = all.items.back().key;
     }
 }
 
-awaitable<std::optional<wire::range_answer>>
-key_value_client::watch(std::string prefix, std::uint64_t since, int hold_ms, request_priority u,
-                        bool &gone) {
-    gone = false;
-    auto r = co_await call("GET", wire::watch_target(prefix, since, hold_ms), "",
-                           c::state_timeout + seconds{hold_ms / 1000.0}, u);
-    if (r.how == net::outcome::answered && r.status == 410)
-        gone = true;
-    if (!r.ok())
-        co_return std::nullopt;
-    try {
-        co_return wire::parse_watch(r.body);
-    } catch (const wire::malformed_message &e) {
-        spdlog::warn("state service: {}", e.what());
-        co_return std::nullopt;
-    }
+awaitable<watch_result> key_value_client::watch(std::string prefix, std::uint64_t since,
+                                                int hold_ms, request_priority priority) {
+    auto reply = co_await call("GET", wire::watch_target(prefix, since, hold_ms), "",
+                               c::state_timeout + seconds{hold_ms / 1000.0}, priority);
+    watch_result result;
+    if (answered_with(reply, http_gone))
+        result.outcome = watch_outcome::compacted;
+    if (!reply.ok())
+        co_return result;
+    auto changes = parsed([&] { return wire::parse_watch(reply.body); });
+    if (!changes)
+        co_return result;
+    result.outcome = watch_outcome::changes;
+    result.changes = std::move(*changes);
+    co_return result;
 }
 
-awaitable<txn_result> key_value_client::commit(std::vector<txn_condition> when,
-                                               std::vector<txn_op> ops, request_priority u,
-                                               net::permission permitted) {
-    auto n = static_cast<double>(ops.size());
-    auto r = co_await call("POST", "/commit", wire::encode_txn(when, ops), c::state_timeout, u, n,
-                           std::move(permitted));
-    txn_result t;
-    if (r.how == net::outcome::not_sent) {
-        t.how = txn_outcome::refused;
-        co_return t;
+awaitable<transaction_result> key_value_client::commit(std::vector<txn_condition> conditions,
+                                                       std::vector<txn_op> ops,
+                                                       request_priority priority,
+                                                       net::permission permitted) {
+    auto write_count = static_cast<double>(ops.size());
+    auto reply = co_await call("POST", "/commit", wire::encode_txn(conditions, ops),
+                               c::state_timeout, priority, write_count, std::move(permitted));
+    transaction_result result;
+    if (reply.how == net::outcome::not_sent) {
+        result.outcome = transaction_outcome::refused;
+        co_return result;
     }
-    if (r.how == net::outcome::unknown) {
-        t.how = txn_outcome::unknown;
-        co_return t;
-    }
-    try {
-        if (r.status == 200) {
-            t.how = txn_outcome::committed;
-            t.revision = wire::parse_txn(r.body).revision;
-        } else if (r.status == 409) {
-            auto a = wire::parse_txn(r.body);
-            t.how = txn_outcome::conflict;
-            t.failed = a.failed;
-            t.revision = a.revision;
-        } else if (r.status == 400) {
-            t.how = txn_outcome::bad;
-            t.error = r.body;
-        } else {
-            // 429 and 503 were not executed; anything else may have been.
-            t.how =
-                r.status == 429 || r.status == 503 ? txn_outcome::refused : txn_outcome::unknown;
-        }
-    } catch (const wire::malformed_message &e) {
-        spdlog::warn("state service: {}", e.what());
-        t.how = txn_outcome::unknown;
-    }
-    co_return t;
+    result.outcome = transaction_outcome::unknown;
+    if (reply.how == net::outcome::unknown)
+        co_return result;
+    co_return parsed([&] { return parse_transaction(reply); }).value_or(result);
 }
 
 awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(seconds ttl) {
-    auto r =
+    auto reply =
         co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl.count() * 1000)),
                       c::state_timeout, request_priority::leadership);
-    if (!r.ok())
-        co_return std::nullopt;
-    try {
-        co_return wire::parse_lease(r.body);
-    } catch (const wire::malformed_message &e) {
-        spdlog::warn("state service: {}", e.what());
+    if (!reply.ok())
         co_return std::nullopt;
-    }
+    co_return parsed([&] { return wire::parse_lease(reply.body); });
 }
 
-awaitable<key_value_client::renewal> key_value_client::renew(std::uint64_t lease) {
-    auto r = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}", c::leader_renew,
-                           request_priority::leadership);
-    if (r.ok())
-        co_return renewal::ok;
-    if (r.how == net::outcome::answered && r.status == 404)
-        co_return renewal::ended;
-    co_return renewal::unsure;
+awaitable<lease_renewal> key_value_client::renew(std::uint64_t lease) {
+    auto reply = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}",
+                               c::leader_renew, request_priority::leadership);
+    if (reply.ok())
+        co_return lease_renewal::renewed;
+    if (answered_with(reply, http_not_found))
+        co_return lease_renewal::ended;
+    co_return lease_renewal::unknown;
 }
 
 awaitable<void> key_value_client::end_lease(std::uint64_t lease) {
--- a/src/store/key_value_client.hpp
+++ b/src/store/key_value_client.hpp
@@ -1,108 +1,120 @@
-// The client of the key-value store: a request budget with priorities, and the calls of its
-// protocol.
+// The client of the consensus-backed key-value store: the calls of its protocol, within a budget of
+// requests and writes that this node shares with the other controllers.
 #pragma once
 #include "common/time.hpp"
 #include "net/http.hpp"
+#include "store/budget.hpp"
+#include "store/request_priority.hpp"
+#include "store/write_queue.hpp"
 #include "store/write_rate.hpp"
 #include "wire/codec.hpp"
-#include <list>
 #include <memory>
 #include <optional>
 
 namespace spindlecroft::store {
 
-// Who goes first when the budget is short.
-enum class request_priority { leadership, cancel, accept, placement, done, rest };
+// The answer to the read of one key.
+struct key_lookup {
+    bool found = false;
+    std::uint64_t revision = 0; // not found: of the store at the read; found: not told
+    kv_item item;               // found: the key with its value, its revision and its lease
+};
 
-// A budget that refills with time; lower urgencies leave a reserve for higher ones. Pure.
-class budget {
-  public:
-    explicit budget(double per_s, seconds burst = seconds{1})
-        : rate_(per_s), burst_(per_s * burst.count()) {
-        tokens_ = burst_;
-    }
-    // Takes n if allowed; otherwise returns false and takes nothing.
-    bool take(double n, request_priority u, time_point now);
-    void set_rate(double per_s) { rate_ = per_s, burst_ = per_s; }
-    void drain() { tokens_ = 0; } // the service refused: others used it up
+enum class watch_outcome {
+    changes,   // the answer is complete; it may hold no change
+    compacted, // the store no longer has the changes from that revision on: list anew
+    failed,    // no answer, or none that can be read
+};
 
-  private:
-    double rate_, burst_, tokens_ = 0;
-    std::optional<time_point> last_;
+// The answer to a watch.
+struct watch_result {
+    watch_outcome outcome = watch_outcome::failed;
+    wire::range_answer changes; // with the revision up to which they are complete
 };
 
-// Changes that wait for the budget. The more urgent go first, but not past one that has waited
-// long: while submissions keep coming, rentals and placements would never have their turn. Pure.
-class write_line {
-  public:
-    using ticket = std::list<time_point>::iterator;
-    ticket enter(time_point now) { return waiting_.insert(waiting_.end(), now); }
-    void leave(ticket t) { waiting_.erase(t); }
-    bool may_go(ticket t, request_priority u, time_point now) const;
-    // Who has waited long takes from the reserve of the more urgent.
-    request_priority priority_of(ticket t, request_priority u, time_point now) const;
+enum class transaction_outcome {
+    committed,
+    conflict, // a condition did not hold; nothing was written
+    refused,  // surely not executed; it may be sent again
+    unknown,  // it may have been executed, or may yet be
+    rejected, // the store never takes it as it is: too large, or its lease has ended
+};
 
-  private:
-    std::list<time_point> waiting_; // since when
+// The answer to a transaction: writes that are applied all or none, if every condition holds.
+struct transaction_result {
+    transaction_outcome outcome = transaction_outcome::refused;
+    std::uint64_t revision = 0;      // of the commit, or of the store at a conflict
+    std::vector<std::string> failed; // at a conflict: the keys whose conditions did not hold
+    std::string error;               // rejected: the store's words
 };
 
-enum class txn_outcome { committed, conflict, refused, unknown, bad };
-struct txn_result {
-    txn_outcome how = txn_outcome::refused;
-    std::uint64_t revision = 0;
-    std::vector<std::string> failed;
-    std::string error;
+enum class lease_renewal {
+    renewed,
+    ended,   // the lease and the keys bound to it are gone
+    unknown, // it may have been renewed
 };
 
+// Every call takes its priority and returns when the answer is there or its time is over; none
+// throws. An empty result means that the store did not answer as expected.
 class key_value_client {
   public:
-    key_value_client(net::asio::io_context &io, const settings::settings &s);
+    key_value_client(net::asio::io_context &io, const settings::settings &settings);
     virtual ~key_value_client() = default; // tests put a stand-in in its place
 
-    // Each returns nothing when the service did not answer as expected.
-    struct item {
-        bool found = false;
-        wire::range_answer at; // revision when not found
-        kv_item kv;
-    };
-    virtual net::awaitable<std::optional<item>> get(std::string key, request_priority u);
+    // Reads one key.
+    virtual net::awaitable<std::optional<key_lookup>> get(std::string key,
+                                                          request_priority priority);
+    // Reads all keys with the prefix, page by page. The revision is that of the first page: a watch
+    // from there repeats what later pages hold.
     virtual net::awaitable<std::optional<wire::range_answer>> list(std::string prefix,
-                                                                   request_priority u);
-    // status 410: nothing, with gone set.
-    virtual net::awaitable<std::optional<wire::range_answer>>
-    watch(std::string prefix, std::uint64_t since, int hold_ms, request_priority u, bool &gone);
-    // permitted: asked right before the transaction is sent; if not, it counts as refused.
-    virtual net::awaitable<txn_result> commit(std::vector<txn_condition> when,
-                                              std::vector<txn_op> ops, request_priority u,
-                                              net::permission permitted = {});
+                                                                   request_priority priority);
+    // Waits at most hold_ms (milliseconds) for changes after the revision `since`.
+    virtual net::awaitable<watch_result> watch(std::string prefix, std::uint64_t since, int hold_ms,
+                                               request_priority priority);
+    // A compare-and-swap over several keys. permitted: asked right before the transaction is sent;
+    // if not, it counts as refused.
+    virtual net::awaitable<transaction_result> commit(std::vector<txn_condition> conditions,
+                                                      std::vector<txn_op> ops,
+                                                      request_priority priority,
+                                                      net::permission permitted = {});
+    // A new lease. Keys written under it are deleted when it ends.
     virtual net::awaitable<std::optional<std::uint64_t>> new_lease(seconds ttl);
-    enum class renewal { ok, ended, unsure };
-    virtual net::awaitable<renewal> renew(std::uint64_t lease);
+    virtual net::awaitable<lease_renewal> renew(std::uint64_t lease);
     virtual net::awaitable<void> end_lease(std::uint64_t lease);
 
-    // Since the service last answered properly.
-    seconds silence(time_point now) const { return now - last_ok_; }
+    // How long ago the store last answered properly.
+    [[nodiscard]] seconds silence(time_point now) const { return now - last_ok_; }
     // Whether it serves this node as far as known: it answered of late, and nothing failed since.
-    bool serving(time_point now) const;
-    void leading(bool yes); // the leader may use more of the budget
-    // Changes a second that the service allows all controllers together.
-    double write_limit() const { return write_rate_.limit(); }
-    std::uint64_t requests = 0, writes = 0;
+    [[nodiscard]] bool serving(time_point now) const;
+    // The leader may use more of the budget.
+    void leading(bool yes);
+    // Changes a second that the store allows all controllers together.
+    [[nodiscard]] double write_limit() const { return write_rate_.limit(); }
+
+    std::uint64_t requests = 0; // sent so far
+    std::uint64_t writes = 0;   // in these requests
 
   private:
-    net::awaitable<void> admit(request_priority u, double writes);
+    // Returns when the budgets have room for one request with so many writes.
+    net::awaitable<void> admit(request_priority priority, double write_count);
+    // Takes the writes from their budget; returns the priority with which they were let through.
+    net::awaitable<request_priority> admit_write(const write_queue_place &place,
+                                                 request_priority priority, double write_count);
+    net::awaitable<void> admit_request(request_priority priority);
     net::awaitable<net::reply> call(std::string method, std::string target, std::string body,
-                                    seconds timeout, request_priority u, double writes = 0,
-                                    net::permission permitted = {});
-    net::client client_;
-    const settings::settings &settings_;
+                                    seconds timeout, request_priority priority,
+                                    double write_count = 0, net::permission permitted = {});
+    void note_reply(const net::reply &reply, double write_count);
     void set_rates();
     void on_too_many_writes();
+
+    net::client client_;
+    const settings::settings &settings_;
     budget requests_, writes_;
     write_rate write_rate_;
     bool leading_ = false;
     // Shared with those who wait: at the end of the program their coroutines outlive the client.
-    std::shared_ptr<write_line> line_ = std::make_shared<write_line>();
+    std::shared_ptr<write_queue> queue_ = std::make_shared<write_queue>();
     time_point last_ok_;
     bool failed_since_ok_ = false; // refused or without an answer
 };
--- /dev/null
+++ b/src/store/write_queue.cpp
@@ -0,0 +1,19 @@
+#include "store/write_queue.hpp"
+#include "constants.hpp"
+#include <algorithm>
+
+namespace spindlecroft::store {
+
+bool write_queue::may_go(ticket place, request_priority priority, time_point now) const {
+    if (priority <= request_priority::cancel || waiting_.empty() || waiting_.front() == *place)
+        return true;
+    return now - waiting_.front() <= constants::write_patience;
+}
+
+request_priority write_queue::priority_of(ticket place, request_priority priority,
+                                          time_point now) const {
+    bool waited_long = now - *place > constants::write_patience;
+    return waited_long ? std::min(priority, request_priority::cancel) : priority;
+}
+
+} // namespace spindlecroft::store
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -83,7 +83,7 @@
     bool entitled = true;
     auto commit = [&] {
         std::vector<txn_op> ops{{"p/1", "[1]", 0}};
-        store::txn_result out;
+        store::transaction_result out;
         bool done = false;
         auto send = [&]() -> awaitable<void> {
             out = co_await state.commit({}, ops, store::request_priority::placement,
@@ -93,11 +93,11 @@
         net::spawn(s.io, send(), "commit");
         while (!done)
             s.io.run_one_for(100ms);
-        return out.how;
+        return out.outcome;
     };
-    EXPECT_EQ(commit(), store::txn_outcome::committed);
+    EXPECT_EQ(commit(), store::transaction_outcome::committed);
     entitled = false;
-    EXPECT_EQ(commit(), store::txn_outcome::refused);
+    EXPECT_EQ(commit(), store::transaction_outcome::refused);
     EXPECT_EQ(s.requests, 1);
 }
 
--- a/tests/key_value_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -45,47 +45,49 @@
             f();
     }
 
-    net::awaitable<store::txn_result> commit(std::vector<txn_condition> when,
-                                             std::vector<txn_op> ops, store::request_priority,
-                                             net::permission permitted) override {
+    net::awaitable<store::transaction_result> commit(std::vector<txn_condition> when,
+                                                     std::vector<txn_op> ops,
+                                                     store::request_priority,
+                                                     net::permission permitted) override {
         co_await net::sleep_for(1ms);
         if (stand_still)
             stand_still();
         if (permitted && !permitted())
-            co_return store::txn_result{store::txn_outcome::refused, 0, {}, ""};
+            co_return store::transaction_result{store::transaction_outcome::refused, 0, {}, ""};
         ++commits;
         auto how = fate::answered;
         if (!next_commits.empty()) {
             how = next_commits.front();
             next_commits.pop_front();
         }
-        store::txn_result t;
+        store::transaction_result t;
         if (outage || how == fate::refused) {
-            t.how = store::txn_outcome::refused;
+            t.outcome = store::transaction_outcome::refused;
             co_return t;
         }
         if (how == fate::held || how == fate::lost) {
             if (how == fate::held)
                 held_.push_back([this, when, ops] { apply(when, ops); });
-            t.how = store::txn_outcome::unknown;
+            t.outcome = store::transaction_outcome::unknown;
             co_return t;
         }
         t = apply(when, ops);
         if (how == fate::unanswered)
-            t = {store::txn_outcome::unknown, 0, {}, ""};
+            t = {store::transaction_outcome::unknown, 0, {}, ""};
         co_return t;
     }
 
-    net::awaitable<std::optional<item>> get(std::string key, store::request_priority) override {
+    net::awaitable<std::optional<store::key_lookup>> get(std::string key,
+                                                         store::request_priority) override {
         co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
-        item i;
+        store::key_lookup i;
         if (auto k = keys.find(key); k != keys.end()) {
             i.found = true;
-            i.kv = {key, k->second.value, k->second.version, k->second.lease};
+            i.item = {key, k->second.value, k->second.version, k->second.lease};
         } else {
-            i.at.revision = revision;
+            i.revision = revision;
         }
         co_return i;
     }
@@ -103,14 +105,14 @@
         co_return a;
     }
 
-    net::awaitable<std::optional<wire::range_answer>>
-    watch(std::string, std::uint64_t since, int, store::request_priority, bool &gone) override {
-        gone = false;
+    net::awaitable<store::watch_result> watch(std::string, std::uint64_t since, int,
+                                              store::request_priority) override {
         co_await net::sleep_for(20ms);
         if (outage)
-            co_return std::nullopt;
-        wire::range_answer a;
-        a.revision = since;
+            co_return store::watch_result{};
+        store::watch_result a;
+        a.outcome = store::watch_outcome::changes;
+        a.changes.revision = since;
         co_return a;
     }
 
@@ -122,11 +124,11 @@
         co_return lease_count;
     }
 
-    net::awaitable<renewal> renew(std::uint64_t lease) override {
+    net::awaitable<store::lease_renewal> renew(std::uint64_t lease) override {
         co_await net::sleep_for(1ms);
         if (outage)
-            co_return renewal::unsure;
-        co_return leases[lease] ? renewal::ok : renewal::ended;
+            co_return store::lease_renewal::unknown;
+        co_return leases[lease] ? store::lease_renewal::renewed : store::lease_renewal::ended;
     }
 
     net::awaitable<void> end_lease(std::uint64_t lease) override {
@@ -139,22 +141,22 @@
         std::erase_if(keys, [&](auto &k) { return k.second.lease == lease && lease != 0; });
     }
 
-    store::txn_result apply(const std::vector<txn_condition> &when,
-                            const std::vector<txn_op> &ops) {
-        store::txn_result t;
+    store::transaction_result apply(const std::vector<txn_condition> &when,
+                                    const std::vector<txn_op> &ops) {
+        store::transaction_result t;
         for (auto &c : when) {
             auto k = keys.find(c.key);
             if ((k == keys.end() ? 0 : k->second.version) != c.version)
                 t.failed.push_back(c.key);
         }
         if (!t.failed.empty()) {
-            t.how = store::txn_outcome::conflict;
+            t.outcome = store::transaction_outcome::conflict;
             t.revision = revision;
             return t;
         }
         for (auto &o : ops)
             if (o.lease && !leases[o.lease]) {
-                t.how = store::txn_outcome::bad;
+                t.outcome = store::transaction_outcome::rejected;
                 t.error = "no such lease";
                 return t;
             }
@@ -163,11 +165,11 @@
             fits = fits && o.value.size() <= most_value_bytes;
         if (!fits) {
             refused_as_too_large.push_back(ops.front().key);
-            t.how = store::txn_outcome::bad;
+            t.outcome = store::transaction_outcome::rejected;
             t.error = "too large";
             return t;
         }
-        t.how = store::txn_outcome::committed;
+        t.outcome = store::transaction_outcome::committed;
         t.revision = ++revision;
         for (auto &o : ops)
             if (o.value.empty())
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -376,7 +376,7 @@
     store::budget b(10);
     time_point now{};
     int rest = 0, accept = 0;
-    while (b.take(1, store::request_priority::rest, now))
+    while (b.take(1, store::request_priority::background, now))
         ++rest;
     while (b.take(1, store::request_priority::accept, now))
         ++accept;
@@ -408,7 +408,7 @@
 // At the start of a large day submissions filled the line for half a minute, and no machine was
 // rented meanwhile.
 TEST(budget, the_more_urgent_do_not_pass_who_waited_long) {
-    store::write_line line;
+    store::write_queue line;
     auto rental_request = line.enter(at(10.0)), submission = line.enter(at(10.2));
     EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, at(10.3)));
     EXPECT_FALSE(line.may_go(submission, store::request_priority::accept, at(10.5)));
@@ -425,7 +425,7 @@
 
 TEST(group_commit, leaves_out_what_nobody_waits_for) {
     std::deque<store::unit> waiting(2);
-    waiting[0].priority = store::request_priority::rest;
+    waiting[0].priority = store::request_priority::background;
     waiting[0].ops = {{"a", "", 0}};
     waiting[1].priority = store::request_priority::placement;
     waiting[1].ops = {{"b", "1", 0}};
@@ -443,7 +443,7 @@
             x.ops.push_back({k, "1", 0});
         waiting.push_back(std::move(x));
     };
-    add(store::request_priority::rest, {"a", "b"});
+    add(store::request_priority::background, {"a", "b"});
     add(store::request_priority::cancel, {"c"});
     add(store::request_priority::done, {"c"});
     add(store::request_priority::done, {"d", "e"});
