--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -6,23 +6,20 @@
 template <class Time>
 void basic_dependency_graph<Time>::add(const std::string &job,
                                        const std::vector<std::string> &predecessors) {
-    auto [i, fresh] = nodes_.try_emplace(job);
-    if (!fresh)
+    auto [place, inserted] = nodes_.try_emplace(job);
+    if (!inserted)
         return;
-    auto &added = i->second;
+    auto &added = place->second;
     added.predecessors = predecessors;
     added.not_done = predecessors.size();
     bool cancelled = false;
     for (auto &predecessor : predecessors) {
         dependents_[predecessor].insert(job);
-        auto end = ends_.find(predecessor);
-        if (end != ends_.end() && end->second.state == job_state::done) {
-            --added.not_done;
-            if (end->second.at)
-                added.ready_at = std::max(added.ready_at, *end->second.at);
-        }
-        cancelled = cancelled || (end != ends_.end() && end->second.state == job_state::cancelled);
-        cancelled = cancelled || of(predecessor) == standing::cancelled;
+        auto *end = end_of(predecessor);
+        if (end && end->state == job_state::done)
+            count_done(added, *end);
+        cancelled = cancelled || (end && end->state == job_state::cancelled) ||
+                    of(predecessor) == standing::cancelled;
     }
     if (cancelled) {
         changes ignored;
@@ -30,20 +27,27 @@
     }
 }
 
+template <class Time>
+void basic_dependency_graph<Time>::count_done(node &dependent, const predecessor_end &end) {
+    --dependent.not_done;
+    if (end.at)
+        dependent.ready_at = std::max(dependent.ready_at, *end.at);
+}
+
 template <class Time>
 void basic_dependency_graph<Time>::remove(const std::string &job) {
-    auto i = nodes_.find(job);
-    if (i == nodes_.end())
+    auto removed = nodes_.find(job);
+    if (removed == nodes_.end())
         return;
-    for (auto &predecessor : i->second.predecessors) {
-        auto d = dependents_.find(predecessor);
-        d->second.erase(job);
-        if (!d->second.empty())
+    for (auto &predecessor : removed->second.predecessors) {
+        auto waiting = dependents_.find(predecessor);
+        waiting->second.erase(job);
+        if (!waiting->second.empty())
             continue;
-        dependents_.erase(d);
+        dependents_.erase(waiting);
         ends_.erase(predecessor);
     }
-    nodes_.erase(i);
+    nodes_.erase(removed);
 }
 
 template <class Time>
@@ -59,10 +63,10 @@
     while (!jobs.empty()) {
         auto job = std::move(jobs.back());
         jobs.pop_back();
-        auto i = nodes_.find(job);
-        if (i == nodes_.end() || i->second.cancelled)
+        auto found = nodes_.find(job);
+        if (found == nodes_.end() || found->second.cancelled)
             continue;
-        i->second.cancelled = true;
+        found->second.cancelled = true;
         auto &next = dependents(job);
         jobs.insert(jobs.end(), next.begin(), next.end());
         out.cancelled.push_back(std::move(job));
@@ -73,18 +77,17 @@
 standing_changes basic_dependency_graph<Time>::note_end(const std::string &predecessor,
                                                         const predecessor_end &end) {
     changes out;
-    auto d = dependents_.find(predecessor);
-    if (d == dependents_.end() || !ends_.try_emplace(predecessor, end).second)
+    auto waiting = dependents_.find(predecessor);
+    if (waiting == dependents_.end() || !ends_.try_emplace(predecessor, end).second)
         return out;
     if (end.state == job_state::cancelled) {
-        cancel_from({d->second.begin(), d->second.end()}, out);
+        cancel_from({waiting->second.begin(), waiting->second.end()}, out);
         return out;
     }
-    for (auto &job : d->second) {
+    for (auto &job : waiting->second) {
         auto &dependent = nodes_.at(job);
-        if (end.at)
-            dependent.ready_at = std::max(dependent.ready_at, *end.at);
-        if (--dependent.not_done == 0 && !dependent.cancelled)
+        count_done(dependent, end);
+        if (dependent.not_done == 0 && !dependent.cancelled)
             out.ready.push_back(job);
     }
     return out;
@@ -103,23 +106,23 @@
 template <class Time>
 const typename basic_dependency_graph<Time>::node *
 basic_dependency_graph<Time>::find(const std::string &job) const {
-    auto i = nodes_.find(job);
-    return i == nodes_.end() ? nullptr : &i->second;
+    auto found = nodes_.find(job);
+    return found == nodes_.end() ? nullptr : &found->second;
 }
 
 template <class Time>
 const std::set<std::string> &
 basic_dependency_graph<Time>::dependents(const std::string &job) const {
     static const std::set<std::string> none;
-    auto i = dependents_.find(job);
-    return i == dependents_.end() ? none : i->second;
+    auto found = dependents_.find(job);
+    return found == dependents_.end() ? none : found->second;
 }
 
 template <class Time>
 const basic_predecessor_end<Time> *
 basic_dependency_graph<Time>::end_of(const std::string &predecessor) const {
-    auto i = ends_.find(predecessor);
-    return i == ends_.end() ? nullptr : &i->second;
+    auto found = ends_.find(predecessor);
+    return found == ends_.end() ? nullptr : &found->second;
 }
 
 template <class Time>
--- a/src/catalog/dependency_graph.hpp
+++ b/src/catalog/dependency_graph.hpp
@@ -32,7 +32,8 @@
 
 // Jobs whose standing changed.
 struct standing_changes {
-    std::vector<std::string> ready, cancelled;
+    std::vector<std::string> ready;     // their last predecessor is done now
+    std::vector<std::string> cancelled; // with a predecessor
 };
 
 // Time: a moment on the clock of whoever notes the ends.
@@ -44,6 +45,7 @@
     // Whether a job has an active record.
     using active_test = std::function<bool(const std::string &)>;
 
+    // A job that is active and has predecessors.
     struct node {
         std::vector<std::string> predecessors;
         std::size_t not_done = 0; // predecessors that are not known to be done
@@ -57,21 +59,29 @@
     // The job's record is not active any more, or names no predecessors now.
     void remove(const std::string &job);
     void clear();
-    // What is noted about a job that nobody waits for is not kept.
+    // Notes how a job ended; the first word of it stands. Returns the jobs whose standing changed
+    // with it. What is noted about a job that nobody waits for is not kept.
     changes note_end(const std::string &predecessor, const predecessor_end &end);
 
-    // A job that is not in the graph is ready.
-    standing of(const std::string &job) const;
-    const node *find(const std::string &job) const;
-    const std::map<std::string, node> &nodes() const { return nodes_; }
-    const std::set<std::string> &dependents(const std::string &job) const;
-    const predecessor_end *end_of(const std::string &predecessor) const;
+    // The standing of a job. One that is not in the graph is ready.
+    [[nodiscard]] standing of(const std::string &job) const;
+    // Nothing: the job is not in the graph.
+    [[nodiscard]] const node *find(const std::string &job) const;
+    [[nodiscard]] const std::map<std::string, node> &nodes() const { return nodes_; }
+    // The jobs that name this one as a predecessor.
+    [[nodiscard]] const std::set<std::string> &dependents(const std::string &job) const;
+    // Nothing: not known to have ended, or nobody waits for it.
+    [[nodiscard]] const predecessor_end *end_of(const std::string &predecessor) const;
     // Predecessors of any job that are neither active nor known to have ended.
-    std::set<std::string> unresolved(const active_test &active) const;
+    [[nodiscard]] std::set<std::string> unresolved(const active_test &active) const;
     // The same, of one job and of those that it needs through others.
-    std::set<std::string> unresolved_for(const std::string &job, const active_test &active) const;
+    [[nodiscard]] std::set<std::string> unresolved_for(const std::string &job,
+                                                       const active_test &active) const;
 
   private:
+    // A predecessor of the job is done.
+    static void count_done(node &dependent, const predecessor_end &end);
+    // Marks the jobs and all that need them as cancelled.
     void cancel_from(std::vector<std::string> jobs, changes &out);
     std::map<std::string, node> nodes_;
     std::map<std::string, std::set<std::string>> dependents_; // by predecessor
--- a/src/catalog/job.cpp
+++ b/src/catalog/job.cpp
@@ -29,11 +29,11 @@
 }
 
 std::uint32_t job::running() const {
-    std::uint32_t n = 0;
-    for (auto &[i, a] : live)
-        if (a.phase == attempt_phase::running)
-            ++n;
-    return n;
+    std::uint32_t count = 0;
+    for (auto &[index, attempt] : live)
+        if (attempt.phase == attempt_phase::running)
+            ++count;
+    return count;
 }
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -10,25 +10,28 @@
 
 namespace spindlecroft::catalog {
 
+// Names a task of a job.
 struct task_ref {
     std::string job;
     std::uint32_t index = 0;
     auto operator<=>(const task_ref &) const = default;
 };
 
+// How far an attempt has come.
 enum class attempt_phase {
     committing, // its placement is being written; nothing was sent
     committed,  // placement durable; start may be sent
     sent,       // start was sent, or an earlier leader may have sent it: possibly running
-    fetching,
+    fetching,   // the machine fetches the image
     running,
     checkpointing,
-    exited,
+    exited, // proven not to run any more
 };
 
+// One try at running a task on a machine.
 struct attempt {
     task_ref task;
-    std::uint64_t number = 0;
+    std::uint64_t number = 0; // commands and reports name it
     std::string machine;
     attempt_phase phase = attempt_phase::committing;
     exit_cause cause = exit_cause::none;
@@ -36,12 +39,11 @@
     time_point created_at{};
     std::optional<time_point> running_since; // when first reported running
     std::optional<time_point> running_seen;  // when last reported running
-    std::uint64_t sent_incarnation = 0,
-                  sent_sequence = 0; // heartbeat whose answer carried the start
-    bool inherited = false;          // from an earlier leader's placement record
-    bool stop_wanted = false;
-    seconds grace{};
-    bool settled = false; // exited and its consequence is durable: may be forgotten
+    // The heartbeat whose answer carried the start.
+    std::uint64_t sent_incarnation = 0, sent_sequence = 0;
+    bool inherited = false;   // from an earlier leader's placement record
+    bool stop_wanted = false; // a stop is to be sent, or was
+    seconds grace{};          // which that stop leaves the task
     // Presumed on the machine: everything from the first send until proven gone.
     bool possibly_running() const {
         return phase != attempt_phase::committing && phase != attempt_phase::committed &&
@@ -51,11 +53,13 @@
     seconds ran_for(time_point now) const {
         return running_since ? now - *running_since : seconds{};
     }
+    // Whether the machine's resources are set aside for it.
     bool holds_resources() const { return phase != attempt_phase::exited; }
 };
 
+// A job that has not ended, or whose end is not durable yet.
 struct job {
-    job_spec spec;
+    job_spec spec;             // as in its record, but for the priority: see own_priority
     std::uint64_t version = 0; // of its record in the key-value store
     time_point accepted_at{};
     // With predecessors: whether all of them are durably done, and since when. A job without is
@@ -68,32 +72,40 @@
     std::optional<time_point> inherited_first_due, inherited_last_due;
     bool cancelled = false;
     time_point cancelled_at{};
-    bool end_writing = false, ended = false;
+    bool end_writing = false; // the record of its end is being written
+    bool ended = false;       // and is durable
 
-    std::vector<bool> done;                      // known done (durable or being written)
-    std::uint32_t done_count = 0;                // durable
-    std::uint32_t done_seen = 0;                 // reported, perhaps not yet durable
+    // Tasks are handed out in the order of their indices, each once; those that have to run again
+    // go before the ones that never ran.
     std::uint32_t next_fresh = 0;                // tasks from here on were never placed
     std::set<std::uint32_t> again;               // placed before, to be placed again
     std::map<std::uint32_t, std::string> queued; // in the queue of this machine
-    std::map<std::uint32_t, attempt> live;
+    std::map<std::uint32_t, attempt> live;       // the present attempt of each placed task
+
+    std::vector<bool> done;                       // by task: known done (durable or being written)
     std::vector<bool> done_durable;               // of these, written
-    time_point write_after{};                     // pause after a conflict
+    std::uint32_t done_count = 0;                 // durable
+    std::uint32_t done_seen = 0;                  // reported, perhaps not yet durable
     std::map<std::uint32_t, std::string> done_in; // which record tells of this part of its tasks
+    time_point write_after{};                     // pause after a conflict
 
     std::uint32_t image = 0; // number of its image
     // It fits its team's guarantee together with the team's earlier jobs: it need not wait for
     // others.
     bool guaranteed = false;
-    seconds took_sum{}; // run times of its done tasks, at the speed of an ordinary machine
-    int took_count = 0;
-    time_point backoff_until{};
+    seconds took_sum{};         // run times of its done tasks, at the speed of an ordinary machine
+    int took_count = 0;         // tasks in that sum
+    time_point backoff_until{}; // no task is placed before: tasks failed or were refused
 
+    // Nothing of it is placed any more.
     bool over() const { return cancelled || ended || end_writing; }
     // Tasks neither done, queued nor on a machine that may be placed: none before the job is ready.
     std::uint32_t waiting() const;
+    // Takes the next task to place. False: there is none.
     bool pop_waiting(std::uint32_t &index);
+    // A task that was handed out is to be placed again, unless it is done or placed already.
     void push_back(std::uint32_t index);
+    // Tasks that are reported running.
     std::uint32_t running() const;
     // Replicas, or tasks, that may be in one zone.
     std::uint32_t zone_cap() const { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -2,26 +2,44 @@
 // all polls that wait.
 #pragma once
 #include "catalog/dependency_graph.hpp"
+#include "catalog/ended_job_memory.hpp"
 #include "common/time.hpp"
 #include "net/async.hpp"
 #include "store/key_value_client.hpp"
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
-#include <unordered_map>
-#include <unordered_set>
+#include <optional>
+#include <set>
+#include <string>
 
 namespace spindlecroft::catalog {
 
+// The record of a job that has not ended.
 struct cached_job {
     wire::job_record record;
-    std::uint64_t version = 0;
+    std::uint64_t revision = 0; // of the record in the key-value store
 };
 
+enum class lookup {
+    found,
+    absent,      // there is no such record
+    unavailable, // it could not be read, or too many such reads are under way
+};
+
+// The answer to the read of the record of a job that ended.
+struct ended_lookup {
+    lookup outcome = lookup::unavailable;
+    wire::ended_record record; // where found
+};
+
+// Everything here is as of revision(), except for what is read singly.
 class job_cache {
   public:
     job_cache(net::asio::io_context &io, store::key_value_client &state);
+    // These run until stop(). Takes changes as they come.
     net::awaitable<void> run_watch();
+    // Makes the shared reads for polls.
     net::awaitable<void> run_reads();
     // Reads how predecessors ended that this process never heard of, one after another.
     net::awaitable<void> run_predecessor_reads();
@@ -34,50 +52,64 @@
     net::awaitable<bool> catch_up(seconds time_limit);
     // Asks for a shared read without waiting for it.
     void want_read();
-    const cached_job *active(const std::string &id) const;
-    std::optional<wire::ended_record> ended(const std::string &id) const;
     // Reads the ended record of a job that is neither active nor at hand.
-    // Nothing: could not be read, or too many such reads are under way. Holds nothing: there is
-    // none.
-    net::awaitable<std::optional<std::optional<wire::ended_record>>> read_ended(std::string id);
-    // Nobody has submitted such a job, as of the cache's revision: no read is needed to tell.
-    bool known_absent(const std::string &id) const { return absent_.count(id) > 0; }
+    net::awaitable<ended_lookup> read_ended(std::string id);
     // Reads what is not known of the predecessors of an active job, so that its standing is as of
     // the cache's revision. False: could not be read.
     net::awaitable<bool> resolve_predecessors(std::string id);
+
+    // Nothing: the job is not active.
+    [[nodiscard]] const cached_job *active(const std::string &id) const;
+    // Nothing: it has not ended, or its record is not at hand.
+    [[nodiscard]] std::optional<wire::ended_record> ended(const std::string &id) const;
+    // Nobody has submitted such a job, as of the cache's revision: no read is needed to tell.
+    [[nodiscard]] bool known_absent(const std::string &id) const { return absent_.contains(id); }
     // The dependencies of active jobs.
-    const wall_dependency_graph &dependencies() const { return graph_; }
-    const std::map<std::string, cached_job> &all() const { return active_; }
-    bool loaded() const { return loaded_; }
-    std::uint64_t revision() const { return revision_; }
+    [[nodiscard]] const wall_dependency_graph &dependencies() const { return graph_; }
+    // The active jobs, by id.
+    [[nodiscard]] const std::map<std::string, cached_job> &all() const { return active_; }
+    // Whether the records were read at all.
+    [[nodiscard]] bool loaded() const { return loaded_; }
+    [[nodiscard]] std::uint64_t revision() const { return revision_; }
     // Everything that was durable at this time is in the cache.
-    time_point fresh_at() const { return fresh_at_; }
+    [[nodiscard]] time_point fresh_at() const { return fresh_at_; }
 
+    // Called for each active job's record that is new or has changed.
     std::function<void(const std::string &, const cached_job &)> on_active;
 
   private:
+    // Reads all active records anew. False: could not be read.
     net::awaitable<bool> load();
-    void apply(const wire::range_answer &a);
+    void replace_active(std::map<std::string, cached_job> jobs);
     void take_changes(const store::watch_result &watched);
+    void apply(const wire::range_answer &changes);
+    // These may throw malformed_message.
+    void apply_change(const kv_item &item);
+    void apply_active(const std::string &id, const kv_item &item);
+
     void take_active(const std::string &id, cached_job job);
     void drop_active(const std::string &id);
     // Notes in the graph what is at hand of the job's predecessors.
-    void settle(const std::string &id);
-    std::set<std::string> unresolved() const;
-    void remember(const std::string &id, const wire::ended_record &r);
+    void note_known_ends(const std::string &id);
+    [[nodiscard]] bool is_active(const std::string &id) const { return active_.count(id) > 0; }
+    // Predecessors of active jobs of which it is not known how they ended.
+    [[nodiscard]] std::set<std::string> unresolved() const;
+    void remember_ended(const std::string &id, const wire::ended_record &record);
     void remember_absent(const std::string &id, std::uint64_t revision);
-    net::asio::io_context &io_;
+    ended_lookup take_ended(const std::string &id, const store::key_lookup &read);
+
     store::key_value_client &state_;
     std::map<std::string, cached_job> active_;
     wall_dependency_graph graph_;
-    std::unordered_map<std::string, wire::ended_record> ended_;
-    std::deque<std::string> ended_order_;
-    std::unordered_set<std::string> absent_;
-    std::deque<std::string> absent_order_; // oldest first; may name some that are not in the set
-    std::size_t ended_reads_ = 0;          // under way
+    ended_job_memory ended_;
+    absent_job_memory absent_;
+    std::size_t ended_reads_ = 0; // under way
     std::uint64_t revision_ = 0;
     time_point fresh_at_ = time_point::min();
-    bool loaded_ = false, stopping_ = false, reload_ = false, prompt_ = false;
+    bool loaded_ = false;
+    bool stopping_ = false;
+    bool reload_ = false; // the store does not have the changes since revision_ any more
+    bool prompt_ = false;
     std::uint64_t reads_wanted_ = 0; // number of the newest call that waits
     std::uint64_t reads_done_ = 0;   // calls up to this one are served
     net::signal wake_, served_;
--- /dev/null
+++ b/src/catalog/job_cache_reads.cpp
@@ -0,0 +1,138 @@
+// How the copy is kept up to date: the watch, the shared reads for polls, and the reads of single
+// records of jobs that ended.
+#include "catalog/job_cache.hpp"
+#include "constants.hpp"
+#include "store/keys.hpp"
+
+namespace spindlecroft::catalog {
+
+namespace c = constants;
+namespace keys = store::keys;
+using net::awaitable;
+using net::steady_now;
+
+namespace {
+
+// Between two looks whether a read is wanted, without a notification.
+constexpr seconds idle_wait{1.0};
+constexpr seconds unloaded_wait{0.1}; // before the first load
+
+} // namespace
+
+// Changes as they come, without anybody asking.
+awaitable<void> job_cache::run_watch() {
+    while (!stopping_) {
+        if (!loaded_ || reload_) {
+            if (!co_await load())
+                co_await net::sleep_for(c::state_retry);
+            continue;
+        }
+        auto watched = co_await state_.watch(keys::jobs_prefix, revision_, c::watch_hold_ms,
+                                             store::request_priority::placement);
+        take_changes(watched);
+        if (watched.outcome != store::watch_outcome::changes)
+            co_await net::sleep_for(c::state_retry);
+        else
+            co_await net::sleep_for(prompt_ ? c::watch_gap : c::follower_watch_gap);
+    }
+}
+
+// --- shared reads ---
+
+awaitable<void> job_cache::run_reads() {
+    while (!stopping_) {
+        if (reads_wanted_ == reads_done_ || !loaded_) {
+            co_await wake_.wait_for(loaded_ ? idle_wait : unloaded_wait);
+            continue;
+        }
+        auto serving = reads_wanted_;
+        auto sent_at = steady_now();
+        auto watched =
+            co_await state_.watch(keys::jobs_prefix, revision_, 0, store::request_priority::accept);
+        take_changes(watched);
+        if (watched.outcome != store::watch_outcome::changes) {
+            co_await net::sleep_for(c::state_retry);
+            continue;
+        }
+        fresh_at_ = sent_at;
+        reads_done_ = serving;
+        served_.notify();
+        co_await net::sleep_for(c::fence_gap);
+    }
+}
+
+void job_cache::want_read() {
+    if (reads_wanted_ != reads_done_)
+        return;
+    ++reads_wanted_;
+    wake_.notify();
+}
+
+awaitable<bool> job_cache::catch_up(seconds time_limit) {
+    auto mine = ++reads_wanted_;
+    auto limit = steady_now() + time_limit;
+    wake_.notify();
+    while (!stopping_ && reads_done_ < mine) {
+        auto left = limit - steady_now();
+        if (left <= seconds{0})
+            co_return false;
+        co_await served_.wait_for(left);
+    }
+    // Guards against an answer from before the process stood still.
+    co_return !stopping_ && steady_now() <= limit;
+}
+
+// --- records of jobs that ended ---
+
+awaitable<ended_lookup> job_cache::read_ended(std::string id) {
+    if (ended_reads_ >= c::ended_reads)
+        co_return ended_lookup{};
+    ++ended_reads_;
+    auto read = co_await state_.get(keys::ended_job(id), store::request_priority::done);
+    --ended_reads_;
+    co_return read ? take_ended(id, *read) : ended_lookup{};
+}
+
+ended_lookup job_cache::take_ended(const std::string &id, const store::key_lookup &read) {
+    if (!read.found) {
+        remember_absent(id, read.revision);
+        return {lookup::absent, {}};
+    }
+    try {
+        auto record = wire::parse_ended(read.item.value);
+        remember_ended(id, record);
+        return {lookup::found, record};
+    } catch (const wire::malformed_message &error) {
+        spdlog::error("{}: can't be read: {}", read.item.key, error.what());
+        return {};
+    }
+}
+
+awaitable<bool> job_cache::resolve_predecessors(std::string id) {
+    auto active = [this](const std::string &other) { return is_active(other); };
+    for (;;) {
+        auto missing = graph_.unresolved_for(id, active);
+        if (missing.empty())
+            co_return true;
+        for (auto &predecessor : missing) {
+            auto read = co_await read_ended(predecessor);
+            if (read.outcome != lookup::found)
+                co_return false;
+        }
+    }
+}
+
+awaitable<void> job_cache::run_predecessor_reads() {
+    while (!stopping_) {
+        for (auto &predecessor : unresolved()) {
+            // Its record may have come meanwhile.
+            if (stopping_ || graph_.end_of(predecessor))
+                continue;
+            (void)co_await read_ended(predecessor);
+            co_await net::sleep_for(c::predecessor_read_gap);
+        }
+        co_await net::sleep_for(c::predecessor_read_gap);
+    }
+}
+
+} // namespace spindlecroft::catalog
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -92,19 +92,18 @@
     2.0}; // s; a leader reads the jobs' records at least this often
 
 // --- key-value store ---
-inline constexpr double state_share =
-    0.9; // share of the limits that all nodes together plan to use
-inline constexpr double leader_write_share = 0.85; // share of the writes that the leader may use
-inline constexpr seconds commit_gap{0.03}; // s; a transaction waits this long for others to join
-inline constexpr seconds fence_gap{0.15};  // s; between two shared reads for waiting polls
-inline constexpr seconds watch_gap{0.10};  // s; between two openings of the leader's long watch
+inline constexpr double state_share = 0.9; // of the limits; all nodes together plan to use no more
+inline constexpr double leader_write_share = 0.85; // of the writes; the leader may use no more
+inline constexpr seconds commit_gap{0.03}; // a transaction waits this long for others to join
+inline constexpr seconds fence_gap{0.15};  // between two shared reads for waiting polls
+inline constexpr seconds watch_gap{0.10};  // between two openings of the leader's long watch
 inline constexpr seconds follower_watch_gap{
-    1.0}; // s; the same elsewhere: there each poll asks for its own read
-inline constexpr int watch_hold_ms = 10'000; // ms; a watch without news returns after this
+    1.0}; // the same elsewhere: there each poll asks for its own read
+inline constexpr int watch_hold_ms = 10'000; // a watch without news returns after this
 inline constexpr seconds write_patience{
-    0.4}; // s; a change that waited so long is not passed by more urgent ones any more
-inline constexpr seconds state_retry{0.25};    // s; pause after a refusal
-inline constexpr seconds refusal_window{10.0}; // s; refusals of changes are counted within it
+    0.4}; // a change that waited so long is not passed by more urgent ones any more
+inline constexpr seconds state_retry{0.25};    // pause after a refusal or an outage
+inline constexpr seconds refusal_window{10.0}; // refusals of changes are counted within it
 inline constexpr int refusals_for_next_limit =
     3; // refusals in the window; they show that the key-value store has its smaller limit
 inline constexpr std::size_t commit_queue = 4000; // waiting changes; beyond it users get 503
@@ -113,10 +112,9 @@
 inline constexpr double placement_share =
     0.4; // of the leader's writes; no more goes to placements of arrays
 inline constexpr double placed_fill =
-    0.9; // share of the largest value that a placement record takes
-inline constexpr seconds done_gap{
-    1.5}; // s; a done record waits this long for more tasks of its job
-inline constexpr seconds sweep_gap{2.0}; // s; between two searches for placement records that ended
+    0.9;                                 // share of the largest value that a placement record takes
+inline constexpr seconds done_gap{1.5};  // a done record waits this long for more tasks of its job
+inline constexpr seconds sweep_gap{2.0}; // between two searches for placement records that ended
 inline constexpr std::size_t rentals_per_record = 16; // requests; about 1.5 KiB
 inline constexpr std::size_t ended_in_memory = 4000;  // ended jobs whose state is kept at hand
 inline constexpr std::size_t absent_in_memory =
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -43,11 +43,11 @@
     };
     cache_.on_active = [this](const std::string &id, const catalog::cached_job &j) {
         if (j.record.cancelled)
-            member_.note_cancel({id, j.version, j.record.cancelled_at});
+            member_.note_cancel({id, j.revision, j.record.cancelled_at});
         if (lead_ && lead_->core) {
-            lead_->core->on_job(id, j.record, j.version, steady_now());
+            lead_->core->on_job(id, j.record, j.revision, steady_now());
             if (auto n = lead_->cancels.find(id); n != lead_->cancels.end()) {
-                if (j.version >= n->second.revision)
+                if (j.revision >= n->second.revision)
                     lead_->cancels.erase(n);
                 else
                     lead_->core->on_cancel(n->second, steady_now());
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -29,7 +29,8 @@
     net::response ready() const;
     // The job's state as of now; nothing: could not be read. Holds nothing: never accepted.
     net::awaitable<std::optional<std::optional<job_status>>> current(std::string id);
-    net::awaitable<std::optional<store::unit_outcome>> commit(store::unit u, seconds time_limit);
+    net::awaitable<std::optional<store::write_outcome>> commit(store::write_unit u,
+                                                               seconds time_limit);
     net::response cut_off() const;
     std::string rejection(const job_spec &s) const;
     // What a submission's predecessors make of it.
--- a/src/control/leading.cpp
+++ b/src/control/leading.cpp
@@ -99,13 +99,13 @@
     auto now = steady_now();
     core->begin(now, member_.token(), wall_clock{now, net::wall_now()});
     for (auto &[id, j] : cache_.all())
-        core->load_job(id, j.record, j.version, now);
+        core->load_job(id, j.record, j.revision, now);
     // Guards against a record that can't be read and would leave the cluster without a leader's
     // decisions for good: it is passed over and gives no permission.
     auto each = [](const wire::range_answer &list, store::committer &writer, const char *prefix,
                    auto load, auto unreadable) {
         for (auto &i : list.items) {
-            writer.set_version(i.key, i.version);
+            writer.set_revision(i.key, i.version);
             try {
                 load(i.key.substr(std::string(prefix).size()), i.value);
             } catch (const wire::malformed_message &e) {
@@ -143,9 +143,9 @@
     std::erase_if(l->cancels, [&](auto &n) { return n.second.revision <= cache_.revision(); });
     for (auto &[id, n] : l->cancels)
         core->on_cancel(n, now);
-    l->commits.set_version(store::keys::machine_types, types_version);
+    l->commits.set_revision(store::keys::machine_types, types_version);
     if (types_version == 0 || types_unreadable) {
-        store::unit u;
+        store::write_unit u;
         u.owned = true;
         u.ops = {{store::keys::machine_types, wire::encode_machine_types(types), 0}};
         u.priority = store::request_priority::accept;
@@ -202,15 +202,15 @@
         auto most = static_cast<std::size_t>(settings_.txn_ops);
         auto waiting = l->records.waiting();
         for (auto &w : core.take_writes(now, waiting < most ? most - waiting : 0)) {
-            store::unit u;
+            store::write_unit u;
             u.owned = true;
-            u.when = w.when;
+            u.conditions = w.when;
             u.ops = w.ops;
             u.priority = priority_of(w.kind);
-            u.result = [l, w](store::unit_outcome how, std::uint64_t revision) {
-                if (how == store::unit_outcome::lost || l->over || !l->core)
+            u.on_outcome = [l, w](store::write_outcome how, std::uint64_t revision) {
+                if (how == store::write_outcome::lost || l->over || !l->core)
                     return;
-                l->core->on_written(w, how == store::unit_outcome::committed, revision,
+                l->core->on_written(w, how == store::write_outcome::committed, revision,
                                     steady_now());
                 l->wake.notify();
             };
--- a/src/control/submissions.cpp
+++ b/src/control/submissions.cpp
@@ -115,16 +115,16 @@
         co_return why.empty() ? cut_off() : error(422, why);
     }
     auto state = record.cancelled ? job_state::cancelled : job_state::pending;
-    store::unit u;
+    store::write_unit u;
     u.priority = store::request_priority::accept;
-    u.when = {{store::keys::active_job(spec.id), 0}, {store::keys::ended_job(spec.id), 0}};
+    u.conditions = {{store::keys::active_job(spec.id), 0}, {store::keys::ended_job(spec.id), 0}};
     u.ops = {{store::keys::active_job(spec.id), value, 0}};
     auto how = co_await commit(std::move(u), c::user_request - c::cancel_round);
-    if (how == store::unit_outcome::committed)
+    if (how == store::write_outcome::committed)
         co_return response{201, wire::encode_accepted(spec.id, state), 0, false};
-    if (how == store::unit_outcome::too_large)
+    if (how == store::write_outcome::too_large)
         co_return error(422, "the description is longer than the state service takes");
-    if (how == store::unit_outcome::conflict) {
+    if (how == store::write_outcome::conflict) {
         auto now = co_await current(spec.id);
         if (now && *now)
             co_return response{200, wire::encode_accepted(spec.id, (*now)->state), 0, false};
--- a/src/control/user_requests.cpp
+++ b/src/control/user_requests.cpp
@@ -20,17 +20,18 @@
     return r;
 }
 
-awaitable<std::optional<store::unit_outcome>> controller::commit(store::unit u,
-                                                                 seconds time_limit) {
+awaitable<std::optional<store::write_outcome>> controller::commit(store::write_unit u,
+                                                                  seconds time_limit) {
     struct shared {
         explicit shared(net::asio::io_context &io) : signal(io) {}
         net::signal signal;
-        std::optional<store::unit_outcome> how;
+        std::optional<store::write_outcome> how;
     };
     auto s = std::make_shared<shared>(io_);
-    u.result = [s, noted = std::move(u.noted)](store::unit_outcome how, std::uint64_t revision) {
-        if (noted && how == store::unit_outcome::committed)
-            noted(revision);
+    u.on_outcome = [s, on_durable = std::move(u.on_durable)](store::write_outcome how,
+                                                             std::uint64_t revision) {
+        if (on_durable && how == store::write_outcome::committed)
+            on_durable(revision);
         s->how = how;
         s->signal.notify();
     };
@@ -87,16 +88,16 @@
         co_return result(std::in_place, std::nullopt);
     if (!e) {
         auto read = co_await cache_.read_ended(id);
-        if (!read)
+        if (read.outcome == catalog::lookup::unavailable)
             co_return std::nullopt;
-        if (!*read) {
+        if (read.outcome == catalog::lookup::absent) {
             // Neither active at the shared read nor ended after it: never accepted then. Unless
             // the watch has it by now.
             if (cache_.active(id))
                 co_return std::nullopt;
             co_return result(std::in_place, std::nullopt);
         }
-        e = **read;
+        e = read.record;
     }
     s.state = e->state;
     s.done = e->done;
@@ -135,22 +136,22 @@
             continue;
         auto record =
             catalog::cancelled_record(j->record, net::wall_now(), settings_.value_bytes());
-        store::unit u;
+        store::write_unit u;
         u.priority = store::request_priority::cancel;
-        u.when = {{store::keys::active_job(id), j->version}};
+        u.conditions = {{store::keys::active_job(id), j->revision}};
         u.ops = {{store::keys::active_job(id), wire::encode_job_record(record), 0}};
         // Durable first, then known to whoever may renew leases, then told: also where the answer
         // from the key-value store comes after the user has gone.
-        u.noted = [this, id, at = record.cancelled_at](std::uint64_t revision) {
+        u.on_durable = [this, id, at = record.cancelled_at](std::uint64_t revision) {
             cancel_notice n{id, revision, at};
             member_.note_cancel(n);
             apply_cancel(n);
         };
         auto how = co_await commit(std::move(u), std::max(c::commit_least, limit - steady_now()));
-        if (how == store::unit_outcome::committed) {
+        if (how == store::write_outcome::committed) {
             co_return response{200, wire::encode_accepted(id, job_state::cancelled), 0, false};
         }
-        if (how != store::unit_outcome::conflict)
+        if (how != store::write_outcome::conflict)
             break;
     }
     co_return cut_off();
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -114,18 +114,18 @@
         return txn_condition{"leader", token};
     };
     state.stand_still = [&] { leading = false; };
-    std::vector<store::unit_outcome> told;
-    store::unit u;
+    std::vector<store::write_outcome> told;
+    store::write_unit u;
     u.owned = true;
     u.ops = {{"p/1", "[1]", 0}};
-    u.result = [&](store::unit_outcome how, std::uint64_t) { told.push_back(how); };
+    u.on_outcome = [&](store::write_outcome how, std::uint64_t) { told.push_back(how); };
     commits.submit(std::move(u));
     net::spawn(io, commits.run(), "commits");
     auto limit = net::steady_now() + 5s;
     while (told.empty() && net::steady_now() < limit)
         io.run_one_for(50ms);
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0], store::unit_outcome::lost);
+    EXPECT_EQ(told[0], store::write_outcome::lost);
     EXPECT_EQ(state.commits, 0u);
     commits.stop();
     io.run_for(100ms);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace spindlecroft;
 using namespace std::chrono_literals;
-using store::unit_outcome;
+using store::write_outcome;
 using test::at;
 using test::wall_at;
 namespace c = constants;
@@ -33,14 +33,14 @@
     settings::settings conf = test::small_settings();
     test::state_stand_in state{io, conf};
     store::committer commits{io, state, conf, "test"};
-    std::map<std::string, unit_outcome> told;
+    std::map<std::string, write_outcome> told;
 
     committing() { net::spawn(io, commits.run(), "commits"); }
     void write(const std::string &key, std::size_t bytes) {
-        store::unit u;
+        store::write_unit u;
         u.owned = true;
         u.ops = {{key, fmt::format("\"{}\"", std::string(bytes, 'x')), 0}};
-        u.result = [this, key](unit_outcome how, std::uint64_t) { told[key] = how; };
+        u.on_outcome = [this, key](write_outcome how, std::uint64_t) { told[key] = how; };
         commits.submit(std::move(u));
     }
     bool until(std::size_t outcomes) {
@@ -60,7 +60,7 @@
         c.write(fmt::format("p/{}", i), 10);
     ASSERT_TRUE(c.until(12));
     for (auto &[key, how] : c.told)
-        EXPECT_EQ(how, unit_outcome::committed) << key;
+        EXPECT_EQ(how, write_outcome::committed) << key;
     EXPECT_EQ(c.state.keys.size(), 12u);
 }
 
@@ -71,20 +71,20 @@
     c.write("p/large", 200);
     c.write("p/small", 10);
     ASSERT_TRUE(c.until(2));
-    EXPECT_EQ(c.told.at("p/large"), unit_outcome::too_large);
-    EXPECT_EQ(c.told.at("p/small"), unit_outcome::committed);
+    EXPECT_EQ(c.told.at("p/large"), write_outcome::too_large);
+    EXPECT_EQ(c.told.at("p/small"), write_outcome::committed);
     auto refusals = c.state.refused_as_too_large.size();
     auto commits = c.state.commits;
     c.told.clear();
     c.write("p/large", 200);
     ASSERT_TRUE(c.until(1));
-    EXPECT_EQ(c.told.at("p/large"), unit_outcome::too_large);
+    EXPECT_EQ(c.told.at("p/large"), write_outcome::too_large);
     EXPECT_EQ(c.state.refused_as_too_large.size(), refusals) << "it is not sent again";
     EXPECT_EQ(c.state.commits, commits);
     c.told.clear();
     c.write("p/large", 50);
     ASSERT_TRUE(c.until(1));
-    EXPECT_EQ(c.told.at("p/large"), unit_outcome::committed);
+    EXPECT_EQ(c.told.at("p/large"), write_outcome::committed);
 }
 
 TEST(limits, the_smaller_rate_holds_for_good_once_it_shows) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -10,7 +10,7 @@
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using fate = test::state_stand_in::fate;
-using store::unit_outcome;
+using store::write_outcome;
 
 namespace {
 
@@ -21,7 +21,7 @@
     store::committer commits{io, state, conf, "test"};
     std::uint64_t token = 0;
     int fence_failures = 0;
-    std::vector<unit_outcome> told;
+    std::vector<write_outcome> told;
 
     committing() {
         token = state.apply({}, {{"leader", "{}", 0}}).revision;
@@ -31,10 +31,10 @@
         net::spawn(io, commits.run(), "commits");
     }
     void write(const std::string &key, const std::string &value) {
-        store::unit u;
+        store::write_unit u;
         u.owned = true;
         u.ops = {{key, value, 0}};
-        u.result = [this](unit_outcome how, std::uint64_t) { told.push_back(how); };
+        u.on_outcome = [this](write_outcome how, std::uint64_t) { told.push_back(how); };
         commits.submit(std::move(u));
     }
     // Runs until so many outcomes were told.
@@ -54,7 +54,7 @@
         c.state.next_commits = {f};
         c.write("p/1", "[1]");
         ASSERT_TRUE(c.until(1));
-        EXPECT_EQ(c.told[0], unit_outcome::committed);
+        EXPECT_EQ(c.told[0], write_outcome::committed);
         EXPECT_EQ(c.state.keys.at("p/1").value, "[1]");
         auto version = c.state.keys.at("p/1").version;
         c.state.release_held();
@@ -76,7 +76,7 @@
     // The next change knows the right version.
     c.write("p/1", "[4]");
     ASSERT_TRUE(c.until(4));
-    EXPECT_EQ(c.told, std::vector<unit_outcome>(4, unit_outcome::committed));
+    EXPECT_EQ(c.told, std::vector<write_outcome>(4, write_outcome::committed));
 }
 
 TEST(late_writes, a_copy_of_an_earlier_leader_changes_nothing) {
@@ -91,7 +91,7 @@
     c.state.release_held();
     EXPECT_EQ(c.state.keys.at("p/1").value, "[1]");
     ASSERT_TRUE(c.until(2));
-    EXPECT_EQ(c.told[1], unit_outcome::lost);
+    EXPECT_EQ(c.told[1], write_outcome::lost);
 }
 
 // Seen on the gap day: after an outage of 91 s no submission was accepted within 200 ms any more.
@@ -100,20 +100,20 @@
     c.commits.fence = nullptr;
     c.state.outage = true;
     for (int i = 0; i < 200; ++i) {
-        store::unit u;
-        u.when = {{"j/a/job-" + std::to_string(i % 40), 0}};
-        u.ops = {{u.when[0].key, "{}", 0}};
+        store::write_unit u;
+        u.conditions = {{"j/a/job-" + std::to_string(i % 40), 0}};
+        u.ops = {{u.conditions[0].key, "{}", 0}};
         u.give_up_at = net::steady_now() + 300ms;
-        u.result = [&](unit_outcome how, std::uint64_t) { c.told.push_back(how); };
+        u.on_outcome = [&](write_outcome how, std::uint64_t) { c.told.push_back(how); };
         c.commits.submit(std::move(u));
     }
     ASSERT_TRUE(c.until(200, 5s));
-    EXPECT_EQ(std::count(c.told.begin(), c.told.end(), unit_outcome::lost), 200);
+    EXPECT_EQ(std::count(c.told.begin(), c.told.end(), write_outcome::lost), 200);
     c.state.outage = false;
     auto before = c.state.commits;
     c.write("j/a/job-new", "{}");
     ASSERT_TRUE(c.until(201));
-    EXPECT_EQ(c.told.back(), unit_outcome::committed);
+    EXPECT_EQ(c.told.back(), write_outcome::committed);
     EXPECT_EQ(c.state.commits, before + 1);
     EXPECT_EQ(c.state.keys.count("j/a/job-0"), 0u);
 }
@@ -129,7 +129,7 @@
     };
     c.write("p/1", "[1]");
     ASSERT_TRUE(c.until(1));
-    EXPECT_EQ(c.told[0], unit_outcome::committed);
+    EXPECT_EQ(c.told[0], write_outcome::committed);
     EXPECT_EQ(c.fence_failures, 1);
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -424,7 +424,7 @@
 }
 
 TEST(group_commit, leaves_out_what_nobody_waits_for) {
-    std::deque<store::unit> waiting(2);
+    std::deque<store::write_unit> waiting(2);
     waiting[0].priority = store::request_priority::background;
     waiting[0].ops = {{"a", "", 0}};
     waiting[1].priority = store::request_priority::placement;
@@ -435,9 +435,9 @@
 }
 
 TEST(group_commit, keeps_limits_order_of_urgency_and_apart_what_touches_one_key) {
-    std::deque<store::unit> waiting;
+    std::deque<store::write_unit> waiting;
     auto add = [&](store::request_priority u, std::vector<std::string> keys) {
-        store::unit x;
+        store::write_unit x;
         x.priority = u;
         for (auto &k : keys)
             x.ops.push_back({k, "1", 0});
