--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -1,6 +1,7 @@
 #include "control/control_loop.hpp"
 #include "constants.hpp"
 #include "control/failover.hpp"
+#include "store/keys.hpp"
 #include <algorithm>
 
 namespace spindlecroft::control {
@@ -22,16 +23,16 @@
     case write_kind::done:
     case write_kind::cleanup:
     case write_kind::suspects:
-        return request_priority::rest;
+        return request_priority::background;
     }
-    return request_priority::rest;
+    return request_priority::background;
 }
 
 // Whether the change records what has ended, which may wait.
 bool is_ending(const durable_write &write) {
     const auto &key = write.ops.front().key;
-    return key.starts_with(jobs_prefix) || key.starts_with(done_prefix) ||
-           write.kind == write_kind::suspects;
+    return key.starts_with(store::keys::jobs_prefix) ||
+           key.starts_with(store::keys::done_tasks_prefix) || write.kind == write_kind::suspects;
 }
 
 } // namespace
@@ -80,16 +81,16 @@
 }
 
 void control_loop::submit_write(const durable_write &write) {
-    store::unit change;
+    store::write_unit change;
     change.owned = true;
-    change.when = write.when;
+    change.conditions = write.when;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
-    change.result = [by = by_, write](store::unit_outcome outcome, std::uint64_t revision) {
+    change.on_outcome = [by = by_, write](store::write_outcome outcome, std::uint64_t revision) {
         auto *core = by->scheduler_unless_ended();
-        if (outcome == store::unit_outcome::lost || !core)
+        if (outcome == store::write_outcome::lost || !core)
             return;
-        bool committed = outcome == store::unit_outcome::committed;
+        bool committed = outcome == store::write_outcome::committed;
         core->on_written(write, committed, revision, steady_now());
         by->wake.notify();
     };
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -76,9 +76,9 @@
 void controller::connect_jobs() {
     jobs_.on_active = [this](const std::string &id, const catalog::cached_job &job) {
         if (job.record.cancelled)
-            member_.note_cancel({id, job.version, job.record.cancelled_at});
+            member_.note_cancel({id, job.revision, job.record.cancelled_at});
         if (leadership_)
-            leadership_->on_job(id, job.record, job.version);
+            leadership_->on_job(id, job.record, job.revision);
     };
 }
 
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -1,5 +1,6 @@
 #include "control/failover.hpp"
 #include "constants.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -17,7 +18,7 @@
 void load_each(const wire::range_answer &records, store::committer &writer, std::string_view prefix,
                Load load, Unreadable unreadable) {
     for (const auto &record : records.items) {
-        writer.set_version(record.key, record.version);
+        writer.set_revision(record.key, record.version);
         try {
             load(record.key.substr(prefix.size()), record.value);
         } catch (const wire::malformed_message &error) {
@@ -59,15 +60,15 @@
 }
 
 awaitable<void> failover::read_stored_types() {
-    auto stored = co_await store_.get(types_key, request_priority::leadership);
+    auto stored = co_await store_.get(store::keys::machine_types, request_priority::leadership);
     if (!stored)
         co_return;
     if (stored->found) {
-        types_revision_ = stored->kv.version;
+        types_revision_ = stored->item.version;
         try {
-            types_ = wire::parse_machine_types(stored->kv.value);
+            types_ = wire::parse_machine_types(stored->item.value);
         } catch (const wire::malformed_message &error) {
-            spdlog::error("{}: can't be read: {}", types_key, error.what());
+            spdlog::error("{}: can't be read: {}", store::keys::machine_types, error.what());
             types_unreadable_ = true;
         }
     }
@@ -89,13 +90,17 @@
 awaitable<void> failover::read_records() {
     while (by_->may_act() && !records_.complete()) {
         if (!records_.suspects)
-            records_.suspects = co_await store_.list(suspects_key, request_priority::leadership);
+            records_.suspects =
+                co_await store_.list(store::keys::suspect_jobs, request_priority::leadership);
         if (!records_.placements)
-            records_.placements = co_await store_.list(placed_prefix, request_priority::leadership);
+            records_.placements =
+                co_await store_.list(store::keys::placements_prefix, request_priority::leadership);
         if (!records_.done)
-            records_.done = co_await store_.list(done_prefix, request_priority::leadership);
+            records_.done =
+                co_await store_.list(store::keys::done_tasks_prefix, request_priority::leadership);
         if (!records_.rentals)
-            records_.rentals = co_await store_.list(rental_prefix, request_priority::leadership);
+            records_.rentals =
+                co_await store_.list(store::keys::rentals_prefix, request_priority::leadership);
         if (!records_.complete())
             co_await net::sleep_for(c::state_retry);
     }
@@ -109,7 +114,7 @@
 
 void failover::load(scheduler &into, time_point now) {
     for (const auto &[id, job] : jobs_.all())
-        into.load_job(id, job.record, job.version, now);
+        into.load_job(id, job.record, job.revision, now);
     load_records(into, now);
     tell_predecessor_ends(into, jobs_, now);
     into.loaded(now);
@@ -131,20 +136,22 @@
     auto placements_unreadable = [&] { into.load_unreadable_placements(now); };
     // Tasks of an unreadable done record run again; machines of an unreadable rental record are
     // used or returned as they appear; suspect jobs are found out again.
-    load_each(*records_.done, by_->endings, done_prefix, load_done, nothing_lost);
-    load_each(*records_.placements, by_->placements, placed_prefix, load_placements,
-              placements_unreadable);
-    load_each(*records_.rentals, by_->placements, rental_prefix, load_rentals, nothing_lost);
+    load_each(*records_.done, by_->endings, store::keys::done_tasks_prefix, load_done,
+              nothing_lost);
+    load_each(*records_.placements, by_->placements, store::keys::placements_prefix,
+              load_placements, placements_unreadable);
+    load_each(*records_.rentals, by_->placements, store::keys::rentals_prefix, load_rentals,
+              nothing_lost);
     load_each(*records_.suspects, by_->endings, "", load_suspects, nothing_lost);
 }
 
 void failover::store_types() {
-    by_->placements.set_version(types_key, types_revision_);
+    by_->placements.set_revision(store::keys::machine_types, types_revision_);
     if (types_revision_ != 0 && !types_unreadable_)
         return;
-    store::unit change;
+    store::write_unit change;
     change.owned = true;
-    change.ops = {{types_key, wire::encode_machine_types(types_), 0}};
+    change.ops = {{store::keys::machine_types, wire::encode_machine_types(types_), 0}};
     change.priority = request_priority::accept;
     by_->placements.submit(std::move(change));
 }
--- a/src/control/job_cancels.cpp
+++ b/src/control/job_cancels.cpp
@@ -2,6 +2,7 @@
 #include "catalog/cancelled_record.hpp"
 #include "constants.hpp"
 #include "control/answers.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -42,25 +43,25 @@
             continue;
         auto time_limit = std::max(c::commit_least, limit - steady_now());
         auto outcome = co_await write_cancel(id, *active, time_limit);
-        if (outcome == store::unit_outcome::committed)
+        if (outcome == store::write_outcome::committed)
             co_return accepted(id, job_state::cancelled);
-        if (outcome != store::unit_outcome::conflict)
+        if (outcome != store::write_outcome::conflict)
             break;
     }
     co_return queries_.store_unavailable();
 }
 
-awaitable<std::optional<store::unit_outcome>>
+awaitable<std::optional<store::write_outcome>>
 job_cancels::write_cancel(const std::string &id, const catalog::cached_job &job,
                           seconds time_limit) {
     auto record = catalog::cancelled_record(job.record, net::wall_now(), settings_.value_bytes());
-    store::unit change;
+    store::write_unit change;
     change.priority = store::request_priority::cancel;
-    change.when = {{active_key(id), job.version}};
-    change.ops = {{active_key(id), wire::encode_job_record(record), 0}};
+    change.conditions = {{store::keys::active_job(id), job.revision}};
+    change.ops = {{store::keys::active_job(id), wire::encode_job_record(record), 0}};
     // Durable first, then known to whoever may renew leases, then told: also where the answer from
     // the store comes after the user has gone.
-    change.noted = [this, id, at = record.cancelled_at](std::uint64_t revision) {
+    change.on_durable = [this, id, at = record.cancelled_at](std::uint64_t revision) {
         on_durable_({id, revision, at});
     };
     return writes_.commit(std::move(change), time_limit);
--- a/src/control/job_cancels.hpp
+++ b/src/control/job_cancels.hpp
@@ -24,7 +24,7 @@
 
   private:
     // One try to write the cancel into the record as it is cached.
-    net::awaitable<std::optional<store::unit_outcome>>
+    net::awaitable<std::optional<store::write_outcome>>
     write_cancel(const std::string &id, const catalog::cached_job &job, seconds time_limit);
 
     const settings::settings &settings_;
--- a/src/control/job_queries.cpp
+++ b/src/control/job_queries.cpp
@@ -67,10 +67,10 @@
     if (jobs_.known_absent(id))
         co_return job_lookup{lookup::never_existed, {}};
     auto read = co_await jobs_.read_ended(id);
-    if (!read)
+    if (read.outcome == catalog::lookup::unavailable)
         co_return job_lookup{};
-    if (*read)
-        co_return ended_status(id, **read);
+    if (read.outcome == catalog::lookup::found)
+        co_return ended_status(id, read.record);
     // Neither active at the shared read nor ended after it: never accepted then. Unless the watch
     // has it by now.
     if (jobs_.active(id))
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -4,6 +4,7 @@
 #include "control/answers.hpp"
 #include "fairness/team_queues.hpp"
 #include "planning/bidder.hpp"
+#include "store/keys.hpp"
 #include <algorithm>
 #include <fmt/format.h>
 
@@ -155,18 +156,18 @@
 
 awaitable<response> job_submissions::accept(wire::job_record record, std::string value) {
     auto id = record.spec.id;
-    store::unit change;
+    store::write_unit change;
     change.priority = store::request_priority::accept;
-    change.when = {{active_key(id), 0}, {ended_key(id), 0}};
-    change.ops = {{active_key(id), std::move(value), 0}};
+    change.conditions = {{store::keys::active_job(id), 0}, {store::keys::ended_job(id), 0}};
+    change.ops = {{store::keys::active_job(id), std::move(value), 0}};
     auto outcome = co_await writes_.commit(std::move(change), c::user_request - c::cancel_round);
-    if (outcome == store::unit_outcome::committed) {
+    if (outcome == store::write_outcome::committed) {
         auto state = record.cancelled ? job_state::cancelled : job_state::pending;
         co_return response{201, wire::encode_accepted(id, state), 0, false};
     }
-    if (outcome == store::unit_outcome::too_large)
+    if (outcome == store::write_outcome::too_large)
         co_return error(422, "the description is longer than the state service takes");
-    if (outcome == store::unit_outcome::conflict) {
+    if (outcome == store::write_outcome::conflict) {
         auto found = co_await queries_.find(id);
         if (found.how == lookup::known)
             co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
--- a/src/control/known_types.cpp
+++ b/src/control/known_types.cpp
@@ -1,6 +1,7 @@
 #include "control/known_types.hpp"
 #include "constants.hpp"
 #include "control/scheduler.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -11,10 +12,11 @@
 
 net::awaitable<void> known_types::load() {
     while (!stopping_ && !types_) {
-        auto stored = co_await store_.get(types_key, store::request_priority::accept);
+        auto stored =
+            co_await store_.get(store::keys::machine_types, store::request_priority::accept);
         if (stored && stored->found) {
             try {
-                learn(wire::parse_machine_types(stored->kv.value));
+                learn(wire::parse_machine_types(stored->item.value));
             } catch (const wire::malformed_message &error) {
                 spdlog::error("machine types: {}", error.what());
             }
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -1,4 +1,5 @@
 #include "control/leadership.hpp"
+#include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
@@ -10,7 +11,7 @@
         writer->fence = [this]() -> std::optional<txn_condition> {
             if (!may_act())
                 return std::nullopt;
-            return txn_condition{leader_key, member_.token()};
+            return txn_condition{store::keys::leader, member_.token()};
         };
         writer->fence_failed = [this] { member_.request_leader_key_check(); };
     }
--- a/src/control/user_writes.cpp
+++ b/src/control/user_writes.cpp
@@ -12,18 +12,18 @@
 struct pending_outcome {
     explicit pending_outcome(net::asio::io_context &io) : arrived(io) {}
     net::signal arrived;
-    std::optional<store::unit_outcome> outcome;
+    std::optional<store::write_outcome> outcome;
 };
 
 } // namespace
 
-net::awaitable<std::optional<store::unit_outcome>> user_writes::commit(store::unit change,
-                                                                       seconds time_limit) {
+net::awaitable<std::optional<store::write_outcome>> user_writes::commit(store::write_unit change,
+                                                                        seconds time_limit) {
     auto pending = std::make_shared<pending_outcome>(io_);
-    change.result = [pending, noted = std::move(change.noted)](store::unit_outcome outcome,
-                                                               std::uint64_t revision) {
-        if (noted && outcome == store::unit_outcome::committed)
-            noted(revision);
+    change.on_outcome = [pending, on_durable = std::move(change.on_durable)](
+                            store::write_outcome outcome, std::uint64_t revision) {
+        if (on_durable && outcome == store::write_outcome::committed)
+            on_durable(revision);
         pending->outcome = outcome;
         pending->arrived.notify();
     };
--- a/src/control/user_writes.hpp
+++ b/src/control/user_writes.hpp
@@ -16,9 +16,9 @@
     // So many changes wait that no more are taken.
     [[nodiscard]] bool full() const { return committer_.full(); }
     // Nothing: no outcome within the time. The change is not sent any more from then on, but a copy
-    // that was sent may yet be executed; its `noted` is called if it was.
-    net::awaitable<std::optional<store::unit_outcome>> commit(store::unit change,
-                                                              seconds time_limit);
+    // that was sent may yet be executed; its `on_durable` is called if it was.
+    net::awaitable<std::optional<store::write_outcome>> commit(store::write_unit change,
+                                                               seconds time_limit);
 
   private:
     net::asio::io_context &io_;
--- a/src/membership/leader_key.hpp
+++ b/src/membership/leader_key.hpp
@@ -45,8 +45,9 @@
                                                              net::permission permitted);
 
   private:
-    net::awaitable<store::txn_result> write(std::uint64_t expected_version, std::uint64_t lease,
-                                            std::uint64_t raise, net::permission permitted);
+    net::awaitable<store::transaction_result> write(std::uint64_t expected_version,
+                                                    std::uint64_t lease, std::uint64_t raise,
+                                                    net::permission permitted);
     net::awaitable<std::optional<std::uint64_t>> version_if_bound_to(std::uint64_t lease);
 
     store::key_value_client &store_;
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -249,9 +249,9 @@
     renewing_lease_ = false;
     if (!election_.elected() || lease != election_.lease())
         co_return;
-    if (result == store::key_value_client::renewal::ok) {
+    if (result == store::lease_renewal::renewed) {
         election_.on_lease_renewed(sent_at);
-    } else if (result == store::key_value_client::renewal::ended) {
+    } else if (result == store::lease_renewal::ended) {
         // The key is gone and with it every write: others may campaign as soon as votes end.
         election_.on_lease_ended();
         step_down("its lease at the state service ended");
