--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -110,17 +110,9 @@
     hold_until_ = now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
 }
 
-// The cloud is asked once more, and tells the machines' names.
 void scheduler::load_rental(const std::string &round, const wire::rental_record &r,
                             time_point now) {
-    rental_rounds_[round].written = true;
-    for (auto &q : r.requests) {
-        auto &s = rentals_[q.request];
-        s.what = q;
-        s.round = round;
-        s.asked_at = now - std::max(seconds{}, state_.term().clock.to_wall(now) - r.at);
-        s.durable = true;
-    }
+    fleet_.load_rental(round, r, now);
 }
 
 void scheduler::loaded(time_point now) {
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -7,6 +7,7 @@
 #include "fairness/chain_order.hpp"
 #include "fairness/team_order.hpp"
 #include "fairness/team_queues.hpp"
+#include "fleet/fleet_manager.hpp"
 #include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
@@ -27,7 +28,6 @@
 
 using planning::bid_round;
 using planning::bidder;
-using planning::rental_offer;
 using planning::round_bid;
 
 // Keys in the key-value store.
@@ -61,17 +61,6 @@
     std::vector<std::string> suspects;                                 // suspects: the jobs
 };
 
-struct tracked_rental {
-    rental_request what;
-    std::string round;                 // the record that names it
-    time_point asked_at{};             // s, steady clock; when the intent arose
-    bool durable = false;              // the name is written: the cloud may be asked
-    bool asking = false;               // a request is under way
-    bool answered = false;             // machines are known
-    std::vector<std::string> machines; // not yet listed
-    time_point next_try{};             // s
-};
-
 class scheduler {
   public:
     scheduler(const settings::settings &s, std::vector<machine_type> types);
@@ -217,15 +206,6 @@
     void refresh_bidder(bidder &b, time_point now);
     void rebid(time_point now);
     void plan_fleet(time_point now);
-    std::optional<rental_offer> cheapest_offer(const job_spec &s, bool spot,
-                                               const std::set<std::string> *zones,
-                                               time_point now) const;
-    void rent(const rental_offer &o, int count, time_point now);
-    void fleet_for_services(std::vector<bidder> &fleet, time_point now);
-    void fleet_for_arrays(std::vector<bidder> &fleet, time_point now);
-    // How much longer than for spot machines work waits before ordinary ones are rented for it.
-    double ordinary_patience(const job_spec &s) const;
-    void return_idle(time_point now);
     void count_usage();
     void mark_guaranteed();
     fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
@@ -255,15 +235,7 @@
     catalog::dependency_graph graph_;       // of jobs_; its times are of the steady clock
     std::set<std::string> inheriting_;      // jobs whose priority or due times come from others
     std::map<std::string, bidder> bidders_; // of machines, as last worked out
-    std::map<std::string, tracked_rental> rentals_;
-    struct rental_round {
-        bool written = false, busy = false;
-    };
-    std::map<std::string, rental_round> rental_rounds_;
-    std::map<std::string, time_point> refused_; // offers without capacity, until when
-    std::set<std::string> sold_out_;   // offers whose last answer was not all that was asked for
-    std::map<std::string, int> asked_; // machines asked for by offer, not answered yet
-    static std::string offer_key(const std::string &type, const std::string &zone, bool spot);
+    fleet::fleet_manager fleet_{settings_, state_, most_record_bytes()};
     std::vector<std::string> suspects_written_; // as the record at the key-value store has them
     bool suspects_busy_ = false;
     std::optional<time_point> suspects_at_; // s; when the record was last written
@@ -294,16 +266,12 @@
     std::optional<time_point> last_sweep_;
     std::optional<time_point> next_placement_; // s
 
-    std::uint64_t rental_counter_ = 0, rental_round_ = 0;
-    std::optional<time_point> rental_round_at_; // s
     bool ready_ = false;
     std::optional<time_point> hold_until_; // s; no task is placed before
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_fleet_;
     std::optional<time_point> last_rebid_;
     std::optional<time_point> last_raise_;
-    std::map<std::string, time_point> zone_doubt_until_;
-    std::set<std::string> spare_;            // machines kept as warm room
     std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
     std::optional<time_point> last_check_;   // s
     std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
--- a/src/control/scheduler_records.cpp
+++ b/src/control/scheduler_records.cpp
@@ -117,41 +117,14 @@
     cleanup_.push_back(std::move(w));
 }
 
-// One record for all requests of a round, written before the cloud is asked. It is dropped when
-// every machine is in a list, or gone: until then the next leader has to ask again for the names,
-// or it would rent as many once more.
 void scheduler::write_rentals(std::vector<durable_write> &out) {
-    std::map<std::string, std::vector<tracked_rental *>> rounds;
-    for (auto &[request, s] : rentals_)
-        rounds[s.round].push_back(&s);
-    for (auto &[name, list] : rounds) {
-        auto &round = rental_rounds_[name];
-        if (round.busy)
-            continue;
-        durable_write w;
-        w.kind = write_kind::rental_request;
-        w.rental_request = name;
-        if (!round.written) {
-            wire::rental_record r;
-            r.at = state_.term().clock.to_wall(list.front()->asked_at);
-            for (auto *s : list)
-                r.requests.push_back(s->what);
-            w.ops.push_back({rental_key(name), wire::encode_rental_record(r), 0});
-        } else {
-            bool open = false;
-            for (auto *s : list) {
-                std::erase_if(s->machines, [&](auto &n) {
-                    auto m = state_.machines().find(n);
-                    return m == state_.machines().end() || m->second.listed_at;
-                });
-                open = open || !s->answered || !s->machines.empty();
-            }
-            if (open)
-                continue;
-            w.ops.push_back({rental_key(name), "", 0});
-        }
-        round.busy = true;
-        out.push_back(std::move(w));
+    for (auto &change : fleet_.take_record_changes()) {
+        durable_write write;
+        write.kind = write_kind::rental_request;
+        write.rental_request = change.round;
+        auto value = change.record ? wire::encode_rental_record(*change.record) : "";
+        write.ops.push_back({rental_key(change.round), std::move(value), 0});
+        out.push_back(std::move(write));
     }
 }
 
@@ -373,24 +346,11 @@
 void scheduler::on_written(const durable_write &w, bool ok, std::uint64_t, time_point now) {
     state_.request_planning();
     if (w.kind == write_kind::rental_request) {
-        auto i = rental_rounds_.find(w.rental_request);
-        if (i == rental_rounds_.end())
-            return;
-        i->second.busy = false;
-        if (!ok)
-            return; // written again
+        using fleet::rental_record_outcome;
         bool dropped = w.ops.front().value.empty();
-        i->second.written = true;
-        for (auto r = rentals_.begin(); r != rentals_.end();) {
-            if (r->second.round != w.rental_request) {
-                ++r;
-                continue;
-            }
-            r->second.durable = true;
-            r = dropped ? rentals_.erase(r) : std::next(r);
-        }
-        if (dropped)
-            rental_rounds_.erase(i);
+        fleet_.on_record_written(w.rental_request, !ok       ? rental_record_outcome::failed
+                                                   : dropped ? rental_record_outcome::dropped
+                                                             : rental_record_outcome::written);
         return;
     }
     if (w.kind == write_kind::placed) {
--- /dev/null
+++ b/src/fleet/offers.cpp
@@ -0,0 +1,90 @@
+#include "fleet/offers.hpp"
+#include "bidding/bid.hpp"
+#include "constants.hpp"
+#include <algorithm>
+
+namespace spindlecroft::fleet {
+
+namespace {
+
+// An offer replaces the best one so far only if it is cheaper by more than rounding.
+constexpr double cheaper_ratio = 0.999;
+
+int slots_on(const machine_type &type, const job_spec &spec) {
+    return bidding::room{type.cpus, type.gpus, type.memory_gb}.slots(spec);
+}
+
+} // namespace
+
+offer_key key_of(const planning::rental_offer &offer) {
+    return {offer.type->name, offer.zone, offer.spot};
+}
+
+offer_key key_of(const rental_request &request) {
+    return {request.type, request.zone, request.spot};
+}
+
+bool offer_catalog::may_request(const offer_key &offer, time_point now) const {
+    auto refused = refused_until_.find(offer);
+    if (refused != refused_until_.end() && refused->second > now)
+        return false;
+    // Guards against asking many times over for what is sold out: each request costs a call to the
+    // cloud and a part of a record. One asks; more follow when it was filled.
+    auto pending = pending_.find(offer);
+    return pending == pending_.end() || pending->second < constants::machines_per_request ||
+           !sold_out_.contains(offer);
+}
+
+std::optional<planning::rental_offer> offer_catalog::cheapest(const job_spec &spec,
+                                                              price_class prices,
+                                                              const std::set<std::string> *zones,
+                                                              time_point now) const {
+    bool spot = prices == price_class::spot;
+    std::optional<planning::rental_offer> best;
+    for (const auto &type : state_.types()) {
+        if (!planning::type_allowed(spec, type.name))
+            continue;
+        int slots = slots_on(type, spec);
+        if (slots < 1)
+            continue;
+        double price = spot && type.spot_price > 0 ? type.spot_price : type.price;
+        for (const auto &zone : type.zones) {
+            if ((spec.zone && *spec.zone != zone) || (zones && !zones->contains(zone)))
+                continue;
+            if (!may_request({type.name, zone, spot}, now))
+                continue;
+            // Boot time is paid for and waited for.
+            double price_per_slot = price / slots * (1 + type.boot_time / constants::rental_use);
+            if (!best || price_per_slot < best->price_per_slot * cheaper_ratio)
+                best = planning::rental_offer{&type, zone, spot, slots, price_per_slot};
+        }
+    }
+    return best;
+}
+
+double offer_catalog::on_demand_patience(const job_spec &spec) const {
+    double spot = 0, on_demand = 0; // the least price of room for one task
+    for (const auto &type : state_.types()) {
+        int slots = slots_on(type, spec);
+        if (slots < 1 || !planning::type_allowed(spec, type.name))
+            continue;
+        if (type.spot_price > 0 && (spot <= 0 || type.spot_price / slots < spot))
+            spot = type.spot_price / slots;
+        if (type.price > 0 && (on_demand <= 0 || type.price / slots < on_demand))
+            on_demand = type.price / slots;
+    }
+    if (spot <= 0 || on_demand <= 0)
+        return 1;
+    return std::clamp(on_demand / spot, 1.0, constants::ordinary_patience);
+}
+
+void offer_catalog::note_refused(const offer_key &offer, time_point now) {
+    refused_until_[offer] = now + constants::refused_capacity;
+    sold_out_.insert(offer);
+}
+
+void offer_catalog::note_filled(const offer_key &offer) {
+    sold_out_.erase(offer);
+}
+
+} // namespace spindlecroft::fleet
--- /dev/null
+++ b/src/fleet/rental_requests.cpp
@@ -0,0 +1,173 @@
+#include "fleet/rental_requests.hpp"
+#include "constants.hpp"
+#include <algorithm>
+#include <fmt/format.h>
+#include <spdlog/spdlog.h>
+
+namespace spindlecroft::fleet {
+
+namespace {
+
+bool asks_for(const rental_request &request, const planning::rental_offer &offer) {
+    return request.type == offer.type->name && request.zone == offer.zone &&
+           request.spot == offer.spot;
+}
+
+} // namespace
+
+void rental_requests::load(const std::string &round, const wire::rental_record &record,
+                           time_point now) {
+    rounds_[round].written = true;
+    for (const auto &request : record.requests) {
+        auto &rental = rentals_[request.request];
+        rental.what = request;
+        rental.round = round;
+        rental.requested_at =
+            now - std::max(seconds{}, state_.term().clock.to_wall(now) - record.at);
+        rental.durable = true;
+    }
+}
+
+std::string rental_requests::round_name(std::uint64_t number) const {
+    return fmt::format("{}-{}", state_.term().first_token, number);
+}
+
+void rental_requests::add(const planning::rental_offer &offer, int count, time_point now) {
+    std::size_t requests = 0, bytes = wire::rental_bytes({});
+    auto round = round_name(round_counter_);
+    for (auto &[name, rental] : rentals_) {
+        if (rental.round != round)
+            continue;
+        ++requests;
+        bytes += wire::rental_bytes(rental.what);
+        if (rental.requested_at == now && !rental.durable && asks_for(rental.what, offer) &&
+            rental.what.count + count <= constants::machines_per_request) {
+            rental.what.count += count;
+            return;
+        }
+    }
+    auto name = fmt::format("r-{}-{}", state_.term().first_token, ++request_counter_);
+    rental_request what{name, offer.type->name, offer.zone, offer.spot, count};
+    bytes += wire::rental_bytes(what);
+    if (round_began_at_ != now || requests >= constants::rentals_per_record ||
+        bytes > record_bytes_) {
+        round_began_at_ = now;
+        round = round_name(++round_counter_);
+    }
+    auto &rental = rentals_[name];
+    rental.what = what;
+    rental.round = round;
+    rental.requested_at = now;
+}
+
+// A later leader still has to ask the cloud for the names of the request's machines. Only the
+// machines that are neither listed nor gone are kept.
+bool rental_requests::is_open(tracked_rental &rental) const {
+    std::erase_if(rental.machines, [&](const std::string &name) {
+        const auto *machine = state_.find_machine(name);
+        return !machine || machine->listed_at;
+    });
+    return !rental.answered || !rental.machines.empty();
+}
+
+// One record for all requests of a round, written before the cloud is asked. It is dropped when
+// every machine is in a list, or gone: until then the next leader has to ask again for the names,
+// or it would rent as many once more.
+std::vector<rental_record_change> rental_requests::take_record_changes() {
+    std::vector<rental_record_change> changes;
+    std::map<std::string, std::vector<tracked_rental *>> rentals_of;
+    for (auto &[name, rental] : rentals_)
+        rentals_of[rental.round].push_back(&rental);
+    for (auto &[name, rentals] : rentals_of) {
+        auto &round = rounds_[name];
+        if (round.busy)
+            continue;
+        rental_record_change change{name, std::nullopt};
+        if (!round.written) {
+            auto &record = change.record.emplace();
+            record.at = state_.term().clock.to_wall(rentals.front()->requested_at);
+            for (const auto *rental : rentals)
+                record.requests.push_back(rental->what);
+        } else if (std::count_if(rentals.begin(), rentals.end(),
+                                 [&](auto *rental) { return is_open(*rental); }) > 0) {
+            continue;
+        }
+        round.busy = true;
+        changes.push_back(std::move(change));
+    }
+    return changes;
+}
+
+void rental_requests::on_record_written(const std::string &round, rental_record_outcome outcome) {
+    auto found = rounds_.find(round);
+    if (found == rounds_.end())
+        return;
+    found->second.busy = false;
+    if (outcome == rental_record_outcome::failed)
+        return; // written again
+    if (outcome == rental_record_outcome::dropped) {
+        std::erase_if(rentals_, [&](const auto &entry) { return entry.second.round == round; });
+        rounds_.erase(found);
+        return;
+    }
+    found->second.written = true;
+    for (auto &[name, rental] : rentals_)
+        if (rental.round == round)
+            rental.durable = true;
+}
+
+std::vector<rental_request> rental_requests::take_requests(time_point now) {
+    std::vector<rental_request> requests;
+    for (auto &[name, rental] : rentals_) {
+        if (!rental.durable || rental.asking || rental.answered || rental.next_try > now)
+            continue;
+        rental.asking = true;
+        const auto &what = rental.what;
+        spdlog::info("renting {} {} in {} ({})", what.count, what.type, what.zone,
+                     what.spot ? "spot" : "ordinary");
+        requests.push_back(what);
+    }
+    return requests;
+}
+
+std::optional<rental_request> rental_requests::on_rented(const std::string &request,
+                                                         const std::vector<std::string> &machines,
+                                                         time_point now) {
+    auto found = rentals_.find(request);
+    if (found == rentals_.end())
+        return std::nullopt;
+    auto &rental = found->second;
+    rental.asking = false;
+    rental.answered = true;
+    rental.machines = machines;
+    for (const auto &name : machines) {
+        if (state_.was_removed(name))
+            continue;
+        auto &machine = state_.ensure_machine(name, now);
+        state_.describe_machine(machine, rental.what.type, rental.what.zone, rental.what.spot, "");
+        if (!machine.up)
+            machine.rented_at = std::min(machine.rented_at, rental.requested_at);
+    }
+    return rental.what;
+}
+
+std::optional<rental_request> rental_requests::on_refused(const std::string &request) {
+    auto found = rentals_.find(request);
+    if (found == rentals_.end())
+        return std::nullopt;
+    auto &rental = found->second;
+    rental.asking = false;
+    rental.answered = true; // with no machines
+    rental.machines.clear();
+    return rental.what;
+}
+
+void rental_requests::on_unclear_answer(const std::string &request, time_point now) {
+    auto found = rentals_.find(request);
+    if (found == rentals_.end())
+        return;
+    found->second.asking = false;
+    found->second.next_try = now + constants::rental_retry;
+}
+
+} // namespace spindlecroft::fleet
