--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -5,6 +5,7 @@
 #include "builders.hpp"
 #include "constants.hpp"
 #include "control/controller.hpp"
+#include "loopback_ports.hpp"
 #include "net/http.hpp"
 #include "wire/codec.hpp"
 #include <boost/json.hpp>
@@ -17,11 +18,6 @@
 namespace json = boost::json;
 using net::awaitable;
 
-inline settings::address free_address(net::asio::io_context &io) {
-    net::asio::ip::tcp::acceptor a(io, {net::asio::ip::make_address_v4("127.0.0.1"), 0});
-    return {"127.0.0.1", a.local_endpoint().port()};
-}
-
 // Keys, revisions, leases and watches of the key-value store. Each controller has a door of its
 // own, so that one can be refused alone.
 struct state_service {
@@ -47,7 +43,7 @@
     explicit state_service(net::asio::io_context &c) : io(c) {}
 
     settings::address open_door(std::size_t node) {
-        auto at = free_address(io);
+        auto at = free_address();
         doors.push_back(std::make_unique<net::server>(
             io, at, [this, node](net::request r) { return answer(node, std::move(r)); },
             net::server_limits{}, "state"));
@@ -226,12 +222,12 @@
     explicit controllers(bool types_known = true) {
         if (types_known)
             state.put("c/types", json::parse(machine_types), 0);
-        auto cloud = free_address(io); // nobody listens there
+        auto cloud = free_address(); // nobody listens there
         for (int i = 0; i < 3; ++i) {
             auto s = test::small_settings();
             s.node = fmt::format("n{}", i);
-            s.api = free_address(io);
-            s.back = free_address(io);
+            s.api = free_address();
+            s.back = free_address();
             s.cloud = cloud;
             s.state = state.open_door(static_cast<std::size_t>(i));
             conf.push_back(s);
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -3,6 +3,7 @@
 #include "builders.hpp"
 #include "constants.hpp"
 #include "key_value_stand_in.hpp"
+#include "loopback_ports.hpp"
 #include "membership/member.hpp"
 #include "net/http.hpp"
 #include "store/committer.hpp"
@@ -15,15 +16,10 @@
 
 namespace {
 
-settings::address free_address(net::asio::io_context &io) {
-    net::asio::ip::tcp::acceptor a(io, {net::asio::ip::make_address_v4("127.0.0.1"), 0});
-    return {"127.0.0.1", a.local_endpoint().port()};
-}
-
 // Another controller, a worker, the cloud or the key-value store: counts what reaches it.
 struct counting_server {
     net::asio::io_context io;
-    settings::address at = free_address(io);
+    settings::address at = test::free_address();
     int requests = 0;
     std::string answer = "{}";
     net::server server{io, at,
--- a/tests/upgrade/process_cluster.cpp
+++ b/tests/upgrade/process_cluster.cpp
@@ -64,6 +64,8 @@
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0600);
+    // No socket of this process lives on in the controllers.
+    posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     int failed =
         posix_spawn(&pids_[node], program.c_str(), &actions, nullptr, arguments.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
