--- /dev/null
+++ b/tests/simulation_rules.cpp
@@ -0,0 +1,153 @@
+// The rules that the randomized simulation checks as invariants.
+#include "randomized_simulation.hpp"
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace spindlecroft::test {
+
+void simulation::report_violation(const std::string &what) {
+    violations.push_back(fmt::format("{:.2f}: {}", test::in_seconds(now), what));
+}
+
+void simulation::check_blame() {
+    for (auto &[name, m] : scheduler->machines())
+        if (m.quarantined && !workers.at(name).faulty)
+            report_violation("quarantined though healthy: " + name);
+}
+
+void simulation::check_start(worker &w, const std::string &job, std::uint32_t index,
+                             std::uint64_t attempt) {
+    ++starts;
+    if (fails_everywhere(job))
+        ++vain_starts[job];
+    check_start_order(job);
+    check_runs_once(w, job, index, attempt);
+    check_team_limit_and_spread(w, job);
+    if (w.spot && !submitted.at(job).spot)
+        report_violation("wrong_place: spot");
+    if (auto found = jobs.find(job); found != jobs.end() && found->second.cancelled_at &&
+                                     now > *found->second.cancelled_at + conf.cancel_deadline)
+        report_violation("ran_cancelled: start of " + job);
+}
+
+void simulation::check_start_order(const std::string &job) {
+    for (auto &id : predecessors_of[job]) {
+        ++chained_starts;
+        for (std::uint32_t index = 0; index < submitted.at(id).tasks; ++index)
+            if (!completed[{id, index}])
+                report_violation(fmt::format("too_early: {} before the end of {}", job, id));
+        if (cancel_confirmed.count(id))
+            report_violation(fmt::format("too_early: {} after the cancel of {}", job, id));
+    }
+}
+
+void simulation::check_runs_once(const worker &w, const std::string &job, std::uint32_t index,
+                                 std::uint64_t attempt) {
+    auto key = std::make_pair(job, index);
+    for (auto &[name, other] : workers) {
+        if (!other.alive || name == w.name || now - other.lease_from > conf.lease_duration)
+            continue;
+        auto task = other.tasks.find(key);
+        if (task != other.tasks.end() && task->second.state != task_state::exited)
+            report_violation(fmt::format("ran_twice {}/{} on {} and {}", job, index, w.name, name));
+    }
+    if (!started.insert(fmt::format("{}/{}#{}", job, index, attempt)).second)
+        report_violation(fmt::format("attempt {} of {}/{} started anew", attempt, job, index));
+}
+
+void simulation::check_team_limit_and_spread(const worker &w, const std::string &job) {
+    auto &spec = submitted.at(job);
+    double cpus = 0;
+    int in_zone = 0;
+    for (auto &[name, other] : workers) {
+        if (!other.alive || now - other.lease_from > conf.lease_duration)
+            continue;
+        for (auto &[key, task] : other.tasks) {
+            if (task.state == task_state::exited)
+                continue;
+            if (submitted.at(key.first).team == spec.team)
+                cpus += submitted.at(key.first).cpus;
+            if (key.first == job && other.zone == w.zone)
+                ++in_zone;
+        }
+    }
+    auto *team = conf.find_team(spec.team);
+    if (team->cpus_max > 0 && cpus > team->cpus_max + 1e-6)
+        report_violation(fmt::format("quota of {}: {}", spec.team, cpus));
+    if (spec.spread && in_zone > static_cast<int>((spec.tasks + 1) / 2))
+        report_violation(fmt::format("wrong_place: {} of {} in one zone", in_zone, job));
+}
+
+void simulation::check_cancelled() {
+    for (auto &[n, w] : workers)
+        if (w.alive && now >= w.up_at)
+            for (auto &[k, t] : w.tasks)
+                if (t.state != task_state::exited)
+                    if (auto j = jobs.find(k.first);
+                        j != jobs.end() && j->second.cancelled_at &&
+                        now > *j->second.cancelled_at + conf.cancel_deadline &&
+                        now >= w.hang_until && now - w.lease_from <= conf.lease_duration)
+                        report_violation("ran_cancelled: " + k.first);
+}
+
+bool simulation::all_predecessors_done(const std::string &id) {
+    auto &names = predecessors_of[id];
+    return std::all_of(names.begin(), names.end(), [&](auto &name) {
+        return ended.count(name) && ended.at(name) == job_state::done;
+    });
+}
+
+bool simulation::has_undone_task(const std::string &id, const job_spec &spec) {
+    for (std::uint32_t index = 0; index < spec.tasks; ++index)
+        if (!completed.count({id, index}))
+            return true;
+    return false;
+}
+
+void simulation::check_waits() {
+    for (auto &[id, record] : jobs) {
+        auto &spec = record.job.spec;
+        bool ready = all_predecessors_done(id);
+        bool waits = ready && !record.job.cancelled && spec.shape == job_shape::array &&
+                     has_undone_task(id, spec);
+        double used = 0;
+        bool room = false;
+        for (auto &[name, w] : workers) {
+            if (!w.alive || now < w.up_at)
+                continue;
+            double free = w.type == "small" ? 4 : 16;
+            for (auto &[key, task] : w.tasks) {
+                if (task.state == task_state::exited)
+                    continue;
+                auto &running = submitted.at(key.first);
+                free -= running.cpus;
+                used += running.team == spec.team ? running.cpus : 0;
+                waits = waits && key.first != id;
+            }
+            room = room || (free >= spec.cpus && (spec.spot || !w.spot));
+        }
+        auto *team = conf.find_team(spec.team);
+        if (!waits || !room || (team->cpus_max > 0 && used + spec.cpus > team->cpus_max))
+            waits_since.erase(id);
+        else if (waits_since.emplace(id, now).first->second < now - 90s)
+            report_violation(fmt::format("waits: {}", describe(id)));
+    }
+}
+
+std::string simulation::describe(const std::string &id) {
+    auto *j = scheduler ? scheduler->find_job(id) : nullptr;
+    if (!j)
+        return id + " unknown to the leader";
+    auto out = fmt::format("{} cancelled {} waiting {} queued {} done {} of {}; {}", id,
+                           j->cancelled, j->waiting(), j->queued.size(), j->done_seen,
+                           j->spec.tasks, scheduler->summary());
+    for (auto &[i, a] : j->live)
+        out += fmt::format("; {} on {} phase {}", i, a.machine, static_cast<int>(a.phase));
+    for (auto &[n, m] : scheduler->machines())
+        out +=
+            fmt::format("\n  {} {} {} up {} usable {} heard {:.0f} s ago", n, m.type.name, m.spot,
+                        m.up, m.usable(), (now - m.heard_at.value_or(test::at(-1))).count());
+    return out;
+}
+
+} // namespace spindlecroft::test
