--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -19,7 +19,7 @@
 }
 
 std::uint64_t attempt_of(const std::string &text) {
-    auto dot = text.find('.');
+    const auto dot = text.find('.');
     return (std::stoull(text.substr(0, dot)) << 20) + std::stoull(text.substr(dot + 1));
 }
 
@@ -77,9 +77,8 @@
                             r.spot ? "spot" : "ordinary", r.request));
         for (auto &n : core->take_deletions(now))
             say("delete " + n);
-        if (auto u = core->take_urgent(); !u.empty())
-            for (auto &n : u)
-                say("urgent " + n);
+        for (auto &name : core->take_urgent())
+            say("urgent " + name);
         if (core->wants_token_raise(now))
             say("raise the token");
     }
@@ -124,149 +123,221 @@
         return r;
     }
 
-    void run(const std::string &line) {
-        std::istringstream in(line);
-        double second = 0;
-        std::string verb, word;
-        in >> second >> verb;
-        auto now = at(second);
+    // One line of a trace: when, what, and its operands.
+    struct instruction {
+        time_point now{};
         std::vector<std::string> names;
         fields f;
-        while (in >> word) {
-            auto eq = word.find('=');
-            if (eq == std::string::npos)
-                names.push_back(word);
+        std::uint64_t token() const { return std::stoull(get(f, "token", "0")); }
+    };
+
+    void become_leader(const instruction &given) {
+        const auto now = given.now;
+        const auto &f = given.f;
+        // A new leader: all it has is what was written.
+        core = std::make_unique<control::scheduler>(small_settings(), small_types());
+        core->begin(now, given.token(), wall_clock{});
+        for (auto &[id, r] : records)
+            core->load_job(id, r, versions[id], now);
+        for (auto &[key, value] : store)
+            if (key.rfind("p/", 0) == 0 && get(f, "placements", "") == "unreadable")
+                core->load_unreadable_placements(now);
             else
-                f[word.substr(0, eq)].push_back(word.substr(eq + 1));
+                load(key, value, now);
+        ends_known = get(f, "ends", "known") == "known";
+        tell_ends(now);
+        core->loaded(now);
+        writes.clear();
+    }
+
+    void submit(const instruction &given) {
+        const auto now = given.now;
+        const auto &names = given.names;
+        const auto &f = given.f;
+        wire::job_record r;
+        r.accepted_at = wall_clock{}.to_wall(now);
+        r.spec = small_job(names.at(0));
+        r.spec.tasks = static_cast<std::uint32_t>(std::stoul(get(f, "tasks", "1")));
+        r.spec.cpus = std::stod(get(f, "cpus", "4"));
+        r.spec.team = get(f, "team", "blue");
+        r.spec.estimate = length(f, "estimate", "30");
+        r.spec.spread = get(f, "spread", "no") == "yes";
+        r.spec.spot = get(f, "spot", "yes") == "yes";
+        r.spec.same_zone = get(f, "one_zone", "no") == "yes";
+        if (f.count("zone"))
+            r.spec.zone = get(f, "zone", "");
+        r.spec.image = get(f, "image", "img");
+        static const std::map<std::string, priority_class> ranks = {
+            {"critical", priority_class::critical},
+            {"high", priority_class::high},
+            {"normal", priority_class::normal},
+            {"low", priority_class::low}};
+        r.spec.priority = ranks.at(get(f, "rank", "normal"));
+        r.spec.checkpoint_interval = length(f, "checkpoint", "0");
+        r.spec.checkpoint_duration = length(f, "save", "0");
+        if (get(f, "shape", "array") == "service") {
+            r.spec.shape = job_shape::service;
+            r.spec.priority = priority_class::critical;
+            r.spec.spot = false;
+            r.spec.estimate = seconds{};
         }
-        auto token = std::stoull(get(f, "token", "0"));
-        if (verb == "lead") {
-            // A new leader: all it has is what was written.
-            core = std::make_unique<control::scheduler>(small_settings(), small_types());
-            core->begin(now, token, wall_clock{});
-            for (auto &[id, r] : records)
-                core->load_job(id, r, versions[id], now);
-            for (auto &[key, value] : store)
-                if (key.rfind("p/", 0) == 0 && get(f, "placements", "") == "unreadable")
-                    core->load_unreadable_placements(now);
-                else
-                    load(key, value, now);
-            ends_known = get(f, "ends", "known") == "known";
-            tell_ends(now);
-            core->loaded(now);
-            writes.clear();
-        } else if (verb == "job") {
-            wire::job_record r;
-            r.accepted_at = wall_clock{}.to_wall(now);
-            r.spec = small_job(names.at(0));
-            r.spec.tasks = static_cast<std::uint32_t>(std::stoul(get(f, "tasks", "1")));
-            r.spec.cpus = std::stod(get(f, "cpus", "4"));
-            r.spec.team = get(f, "team", "blue");
-            r.spec.estimate = length(f, "estimate", "30");
-            r.spec.spread = get(f, "spread", "no") == "yes";
-            r.spec.spot = get(f, "spot", "yes") == "yes";
-            r.spec.same_zone = get(f, "one_zone", "no") == "yes";
-            if (f.count("zone"))
-                r.spec.zone = get(f, "zone", "");
-            r.spec.image = get(f, "image", "img");
-            static const std::map<std::string, priority_class> ranks = {
-                {"critical", priority_class::critical},
-                {"high", priority_class::high},
-                {"normal", priority_class::normal},
-                {"low", priority_class::low}};
-            r.spec.priority = ranks.at(get(f, "rank", "normal"));
-            r.spec.checkpoint_interval = length(f, "checkpoint", "0");
-            r.spec.checkpoint_duration = length(f, "save", "0");
-            if (get(f, "shape", "array") == "service") {
-                r.spec.shape = job_shape::service;
-                r.spec.priority = priority_class::critical;
-                r.spec.spot = false;
-                r.spec.estimate = seconds{};
-            }
-            if (f.count("needs"))
-                r.spec.predecessors = f["needs"];
-            if (f.count("deadline"))
-                r.spec.deadline = length(f, "deadline", "0");
-            records[names.at(0)] = r;
-            versions[names.at(0)] = ++revision;
-            core->on_job(names.at(0), r, revision, now);
-        } else if (verb == "cancel") {
-            records.at(names.at(0)).cancelled = true;
-            versions[names.at(0)] = ++revision;
-            if (get(f, "told", "yes") == "yes")
-                core->on_job(names.at(0), records[names.at(0)], revision, now);
-        } else if (verb == "report") {
-            auto age = core->on_heartbeat(report(names.at(0), f), now);
-            if (age == control::scheduler::heartbeat_age::dead) {
-                say("refused: out of date");
-            } else {
-                commands(core->commands_for_answer(names.at(0), now));
-                core->answered(names.at(0), age, now);
-            }
-        } else if (verb == "cancel-by-name") {
-            // Another controller's word, before the job's record tells of it.
-            records.at(names.at(0)).cancelled = true;
-            versions[names.at(0)] = ++revision;
-            core->on_cancel({names.at(0), revision, std::nullopt}, now);
-        } else if (verb == "command") {
-            commands(core->direct_commands_for(names.at(0), now));
-        } else if (verb == "command-answered") {
-            core->command_resolved(names.at(0));
-            core->on_heartbeat(report(names.at(0), f), now, true);
-        } else if (verb == "command-lost") {
-            core->command_unresolved(names.at(0), core->token(),
-                                     std::stoull(get(f, "session", "1")));
-        } else if (verb == "token") {
-            core->on_token(token);
-        } else if (verb == "written") {
-            auto list = std::move(writes);
-            writes.clear();
-            for (auto &w : list) {
-                // What the key-value store does: all conditions must hold.
-                bool ok = true;
-                for (auto &c : w.when)
-                    if (auto j = versions.find(c.key.substr(4));
-                        j == versions.end() ? c.version != 0 : j->second != c.version)
-                        ok = false;
-                if (ok) {
-                    ++revision;
-                    for (auto &o : w.ops) {
-                        if (o.key.rfind("j/a/", 0) == 0) {
-                            records.erase(o.key.substr(4));
-                            versions.erase(o.key.substr(4));
-                        } else if (o.value.empty()) {
-                            store.erase(o.key);
-                        } else {
-                            store[o.key] = o.value;
-                        }
+        if (f.count("needs"))
+            r.spec.predecessors = f.at("needs");
+        if (f.count("deadline"))
+            r.spec.deadline = length(f, "deadline", "0");
+        records[names.at(0)] = r;
+        versions[names.at(0)] = ++revision;
+        core->on_job(names.at(0), r, revision, now);
+    }
+
+    void cancel_in_record(const instruction &given) {
+        const auto &names = given.names;
+        records.at(names.at(0)).cancelled = true;
+        versions[names.at(0)] = ++revision;
+        if (get(given.f, "told", "yes") == "yes")
+            core->on_job(names.at(0), records[names.at(0)], revision, given.now);
+    }
+
+    void take_heartbeat(const instruction &given) {
+        const auto now = given.now;
+        const auto &names = given.names;
+        auto age = core->on_heartbeat(report(names.at(0), given.f), now);
+        if (age == control::scheduler::heartbeat_age::dead) {
+            say("refused: out of date");
+        } else {
+            commands(core->commands_for_answer(names.at(0), now));
+            core->answered(names.at(0), age, now);
+        }
+    }
+
+    void cancel_by_name(const instruction &given) {
+        const auto &names = given.names;
+        // Another controller's word, before the job's record tells of it.
+        records.at(names.at(0)).cancelled = true;
+        versions[names.at(0)] = ++revision;
+        core->on_cancel({names.at(0), revision, std::nullopt}, given.now);
+    }
+
+    void send_command(const instruction &given) {
+        commands(core->direct_commands_for(given.names.at(0), given.now));
+    }
+
+    void command_answered(const instruction &given) {
+        const auto &names = given.names;
+        core->command_resolved(names.at(0));
+        core->on_heartbeat(report(names.at(0), given.f), given.now, true);
+    }
+
+    void command_lost(const instruction &given) {
+        core->command_unresolved(given.names.at(0), core->token(),
+                                 std::stoull(get(given.f, "session", "1")));
+    }
+
+    void raise_token(const instruction &given) { core->on_token(given.token()); }
+
+    void finish_writes(const instruction &given) {
+        auto list = std::move(writes);
+        writes.clear();
+        for (auto &w : list) {
+            // What the key-value store does: all conditions must hold.
+            bool ok = true;
+            for (auto &c : w.when)
+                if (auto j = versions.find(c.key.substr(4));
+                    j == versions.end() ? c.version != 0 : j->second != c.version)
+                    ok = false;
+            if (ok) {
+                ++revision;
+                for (auto &o : w.ops) {
+                    if (o.key.rfind("j/a/", 0) == 0) {
+                        records.erase(o.key.substr(4));
+                        versions.erase(o.key.substr(4));
+                    } else if (o.value.empty()) {
+                        store.erase(o.key);
+                    } else {
+                        store[o.key] = o.value;
                     }
-                } else {
-                    say("refused: " + w.ops.front().key);
                 }
-                core->on_written(w, ok, revision, now);
+            } else {
+                say("refused: " + w.ops.front().key);
             }
-        } else if (verb == "ends-read") {
-            ends_known = true;
-        } else if (verb == "rent-unsure") {
-            core->on_rent_unsure(names.at(0), now);
-        } else if (verb == "rent-refused") {
-            core->on_rent_refused(names.at(0), now);
-        } else if (verb == "rented") {
-            core->on_rented(names.at(0), {names.begin() + 1, names.end()}, now);
-        } else if (verb == "deleted") {
-            core->on_deleted(names, now);
-        } else if (verb == "hosts") {
-            std::vector<listed_machine> hosts;
-            hosts.reserve(names.size());
-            for (auto &n : names)
-                hosts.push_back({n, "10.0.0.1:9000", get(f, "type", "small"), get(f, "zone", "a"),
-                                 false, machine_state::running, 10s});
-            core->on_machine_list(hosts, now, now);
-        } else if (verb != "tick") {
+            core->on_written(w, ok, revision, given.now);
+        }
+    }
+
+    void read_ends(const instruction &) { ends_known = true; }
+
+    void rent_unsure(const instruction &given) {
+        core->on_rent_unsure(given.names.at(0), given.now);
+    }
+
+    void rent_refused(const instruction &given) {
+        core->on_rent_refused(given.names.at(0), given.now);
+    }
+
+    void finish_rental(const instruction &given) {
+        const auto &names = given.names;
+        core->on_rented(names.at(0), {names.begin() + 1, names.end()}, given.now);
+    }
+
+    void finish_deletion(const instruction &given) { core->on_deleted(given.names, given.now); }
+
+    void list_machines(const instruction &given) {
+        const auto now = given.now;
+        const auto &names = given.names;
+        const auto &f = given.f;
+        std::vector<listed_machine> hosts;
+        hosts.reserve(names.size());
+        for (auto &n : names)
+            hosts.push_back({n, "10.0.0.1:9000", get(f, "type", "small"), get(f, "zone", "a"),
+                             false, machine_state::running, 10s});
+        core->on_machine_list(hosts, now, now);
+    }
+
+    void tick(const instruction &) {}
+
+    using handler = void (runner::*)(const instruction &);
+    static handler handler_of(const std::string &verb) {
+        static const std::map<std::string, handler> handlers = {
+            {"lead", &runner::become_leader},
+            {"job", &runner::submit},
+            {"cancel", &runner::cancel_in_record},
+            {"report", &runner::take_heartbeat},
+            {"cancel-by-name", &runner::cancel_by_name},
+            {"command", &runner::send_command},
+            {"command-answered", &runner::command_answered},
+            {"command-lost", &runner::command_lost},
+            {"token", &runner::raise_token},
+            {"written", &runner::finish_writes},
+            {"ends-read", &runner::read_ends},
+            {"rent-unsure", &runner::rent_unsure},
+            {"rent-refused", &runner::rent_refused},
+            {"rented", &runner::finish_rental},
+            {"deleted", &runner::finish_deletion},
+            {"hosts", &runner::list_machines},
+            {"tick", &runner::tick}};
+        auto found = handlers.find(verb);
+        if (found == handlers.end())
             throw std::runtime_error("unknown verb " + verb);
+        return found->second;
+    }
+
+    void run(const std::string &line) {
+        std::istringstream in(line);
+        double second = 0;
+        std::string verb, word;
+        in >> second >> verb;
+        instruction given;
+        given.now = at(second);
+        while (in >> word) {
+            auto separator = word.find('=');
+            if (separator == std::string::npos)
+                given.names.push_back(word);
+            else
+                given.f[word.substr(0, separator)].push_back(word.substr(separator + 1));
         }
-        tell_ends(now);
-        decisions(now);
+        (this->*handler_of(verb))(given);
+        tell_ends(given.now);
+        decisions(given.now);
     }
 
     std::map<std::string, std::string> store;
