--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -2,10 +2,11 @@
 // PROTOCOL, and a cluster of three controllers in this process. Real time, a few seconds; limits
 // are generous so that a busy machine only makes it slower.
 #pragma once
+#include "builders.hpp"
 #include "constants.hpp"
 #include "control/controller.hpp"
+#include "loopback_ports.hpp"
 #include "net/http.hpp"
-#include "trace_runner.hpp"
 #include "wire/codec.hpp"
 #include <boost/json.hpp>
 #include <fmt/format.h>
@@ -17,11 +18,6 @@
 namespace json = boost::json;
 using net::awaitable;
 
-inline settings::address free_address(net::asio::io_context &io) {
-    net::asio::ip::tcp::acceptor a(io, {net::asio::ip::make_address_v4("127.0.0.1"), 0});
-    return {"127.0.0.1", a.local_endpoint().port()};
-}
-
 // Keys, revisions, leases and watches of the key-value store. Each controller has a door of its
 // own, so that one can be refused alone.
 struct state_service {
@@ -47,7 +43,7 @@
     explicit state_service(net::asio::io_context &c) : io(c) {}
 
     settings::address open_door(std::size_t node) {
-        auto at = free_address(io);
+        auto at = free_address();
         doors.push_back(std::make_unique<net::server>(
             io, at, [this, node](net::request r) { return answer(node, std::move(r)); },
             net::server_limits{}, "state"));
@@ -177,6 +173,19 @@
         return say(200, {{"ledger", ledger}});
     }
 
+    json::array changes_since(std::uint64_t since, const std::string &prefix) const {
+        json::array news;
+        for (auto &change : changes) {
+            if (change.mark <= since || !change.key.starts_with(prefix))
+                continue;
+            json::object entry{{change.data ? "write" : "drop", change.key}, {"mark", change.mark}};
+            if (change.data)
+                entry["data"] = *change.data;
+            news.push_back(entry);
+        }
+        return news;
+    }
+
     awaitable<net::response> watch(std::size_t node, std::map<std::string, std::string> q) {
         auto since = std::stoull(q["since"]);
         seconds hold{std::stod(q.count("holdMs") ? q["holdMs"] : "0") / 1000};
@@ -186,14 +195,7 @@
         for (;;) {
             expire();
             if (!outage && !refused[node]) {
-                json::array news;
-                for (auto &c : changes)
-                    if (c.mark > since && c.key.starts_with(q["starts"])) {
-                        json::object o{{c.data ? "write" : "drop", c.key}, {"mark", c.mark}};
-                        if (c.data)
-                            o["data"] = *c.data;
-                        news.push_back(o);
-                    }
+                auto news = changes_since(since, q["starts"]);
                 if (!news.empty() || net::steady_now() >= until)
                     co_return say(200, {{"ledger", ledger}, {"news", news}});
             }
@@ -226,12 +228,12 @@
     explicit controllers(bool types_known = true) {
         if (types_known)
             state.put("c/types", json::parse(machine_types), 0);
-        auto cloud = free_address(io); // nobody listens there
+        auto cloud = free_address(); // nobody listens there
         for (int i = 0; i < 3; ++i) {
             auto s = test::small_settings();
             s.node = fmt::format("n{}", i);
-            s.api = free_address(io);
-            s.back = free_address(io);
+            s.api = free_address();
+            s.back = free_address();
             s.cloud = cloud;
             s.state = state.open_door(static_cast<std::size_t>(i));
             conf.push_back(s);
@@ -305,6 +307,9 @@
             nodes.back()->start();
         }
     }
+    cluster(const cluster &) = delete;
+    cluster &operator=(const cluster &) = delete;
+    // NOLINTNEXTLINE(bugprone-exception-escape): a throw here may end the test program
     ~cluster() override {
         for (auto &n : nodes)
             n->stop();
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -9,7 +9,8 @@
 #include "fleet/scale_in.hpp"
 #include "fleet/scale_out.hpp"
 #include "model/boot_age.hpp"
-#include "trace_runner.hpp"
+#include "builders.hpp"
+#include "test_time.hpp"
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -1,7 +1,7 @@
 // What a controller knows of dependencies from the records alone, whatever it has missed.
+#include "builders.hpp"
 #include "catalog/job_cache.hpp"
 #include "key_value_stand_in.hpp"
-#include "trace_runner.hpp"
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
@@ -45,6 +45,10 @@
         for (int i = 0; i < 100 && !cache.loaded(); ++i)
             run(10ms);
     }
+    caching() = default;
+    caching(const caching &) = delete;
+    caching &operator=(const caching &) = delete;
+    // NOLINTNEXTLINE(bugprone-exception-escape): a throw here may end the test program
     ~caching() {
         cache.stop();
         run(200ms);
