--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -37,73 +37,16 @@
 
 void scheduler::load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
                          time_point now) {
-    job_t j;
-    j.spec = r.spec;
-    j.version = version;
-    j.accepted_at = std::min(now, state_.term().clock.to_steady(r.accepted_at));
-    j.done.assign(r.spec.tasks, false);
-    j.done_durable.assign(r.spec.tasks, false);
-    j.own_priority = r.spec.priority;
-    auto &kept = state_.add_job(id, std::move(j));
-    if (kept.spec.shape == job_shape::array || !r.cancelled)
-        state_.note_workload(kept.spec, now);
-    add_dependencies(kept, now);
-    if (r.cancelled && !kept.cancelled)
-        cancel_job(kept, r.cancelled_at, now);
+    job_loader_.load(id, r, version, now);
 }
 
 void scheduler::load_done(const std::string &record, const std::vector<wire::done_part> &parts) {
-    auto &kept = done_records_[record];
-    kept.open = false;
-    for (auto &p : parts) {
-        auto *j = state_.find_job(p.job);
-        if (!j)
-            continue;
-        kept.parts.insert({p.job, p.part});
-        kept.bytes += wire::done_bytes(p.job, p.bits.size());
-        j->done_in[p.part] = record;
-        for (std::size_t k = 0; k < p.bits.size(); ++k) {
-            std::size_t i = p.part * c::part_done + k;
-            if (p.bits[k] && i < j->done.size() && !j->done[i]) {
-                j->done[i] = j->done_durable[i] = true;
-                ++j->done_count;
-                ++j->done_seen;
-            }
-        }
-    }
-    kept.too_large = kept.bytes > most_record_bytes();
+    done_records_.load(record, parts);
 }
 
-void scheduler::load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
+void scheduler::load_placed(const std::string &record, const std::vector<wire::placed_task> &tasks,
                             time_point now) {
-    auto &kept = segments_[name];
-    kept.open = false;
-    for (auto &t : tasks) {
-        auto *j = state_.find_job(t.job);
-        if (!j || t.index >= j->spec.tasks || j->done[t.index])
-            continue;
-        // An older record may still name an attempt that was proven gone before a newer one was
-        // made: attempts only grow.
-        if (auto i = j->live.find(t.index); i != j->live.end()) {
-            if (i->second.number >= t.attempt)
-                continue;
-            state_.release_attempt(*j, t.index, false);
-        }
-        kept.tasks.push_back(t);
-        // Guards against a second start: the task may be there, or a start may be under way,
-        // until the machine's own heartbeat under our token says otherwise.
-        attempt_t a;
-        a.task = {t.job, t.index};
-        a.number = t.attempt;
-        a.machine = t.machine;
-        a.phase = attempt_phase::sent;
-        a.inherited = true;
-        a.created_at = now;
-        a.estimate = state_.estimates().expected_run_time(j->spec);
-        a.stop_wanted = j->cancelled;
-        state_.ensure_machine(t.machine, now);
-        state_.add_attempt(*j, std::move(a));
-    }
+    placements_.load(record, tasks, now);
 }
 
 void scheduler::load_unreadable_placements(time_point now) {
@@ -124,16 +67,7 @@
 }
 
 void scheduler::loaded(time_point now) {
-    for (auto &[id, j] : state_.jobs()) {
-        std::uint32_t top = 0;
-        for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
-            if (j.done[i] || j.live.count(i))
-                top = i + 1;
-        j.next_fresh = top;
-        for (std::uint32_t i = 0; i < top; ++i)
-            if (!j.done[i] && !j.live.count(i))
-                j.again.insert(i);
-    }
+    job_loader_.restore_waiting_tasks();
     ready_ = true;
     state_.request_planning();
     last_raise_ = now;
@@ -144,50 +78,20 @@
 
 void scheduler::on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
                        time_point now) {
-    state_.request_planning();
-    auto *j = state_.find_job(id);
-    if (!j) {
-        load_job(id, r, version, now);
-        return;
-    }
-    if (version < j->version)
-        return;
-    j->version = version;
-    if (r.cancelled && !j->cancelled)
-        cancel_job(*j, r.cancelled_at, now);
+    job_loader_.on_record(id, r, version, now);
 }
 
 void scheduler::on_cancel(const cancel_notice &n, time_point now) {
-    state_.request_planning();
-    auto *j = state_.find_job(n.job);
-    if (!j || n.revision < j->version)
-        return;
-    j->version = n.revision;
-    if (!j->cancelled)
-        cancel_job(*j, n.at, now);
-}
-
-void scheduler::cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now) {
-    j.cancelled = true;
-    // The user was told when the record was written, not when we hear of it.
-    j.cancelled_at = now;
-    if (told_at)
-        j.cancelled_at = std::min(now, state_.term().clock.to_steady(*told_at) -
-                                           2 * settings_.clock_bound); // two clocks
-    while (!j.queued.empty())
-        state_.remove_from_queue(j, j.queued.begin()->first);
-    std::vector<std::uint32_t> indices;
-    for (auto &[i, a] : j.live)
-        indices.push_back(i);
-    for (auto i : indices) {
-        auto &a = j.live[i];
-        if (a.phase == attempt_phase::committing || a.phase == attempt_phase::committed ||
-            a.phase == attempt_phase::exited)
-            state_.release_attempt(j, i, false);
-        else
-            state_.request_stop(a, seconds{});
-    }
-    follow(graph_.note_end(j.spec.id, {job_state::cancelled, now}), now);
+    job_loader_.on_cancel(n, now);
+}
+
+void scheduler::on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
+                                   time_point now) {
+    dependencies_.on_predecessor_end(id, end, now);
+}
+
+std::set<std::string> scheduler::unresolved_predecessors() const {
+    return dependencies_.unresolved_predecessors();
 }
 
 void scheduler::on_token(std::uint64_t token) {
@@ -532,10 +436,7 @@
 }
 
 void scheduler::load_suspects(const std::vector<std::string> &jobs, time_point now) {
-    suspects_written_ = jobs;
-    for (auto &id : jobs)
-        if (state_.find_job(id))
-            state_.failures().load_suspect(id, now);
+    suspect_record_.load(jobs, now);
 }
 
 // The attempt is not in a heartbeat newer than all we knew.
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -4,12 +4,23 @@
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
 #include "common/time.hpp"
+#include "dependencies/chain_inheritance.hpp"
+#include "dependencies/dependency_tracker.hpp"
 #include "fairness/chain_order.hpp"
 #include "fairness/team_order.hpp"
 #include "fairness/team_queues.hpp"
 #include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "records/done_records.hpp"
+#include "records/durable_write.hpp"
+#include "records/job_ends.hpp"
+#include "records/job_loader.hpp"
+#include "records/placement_records.hpp"
+#include "records/record_cleanup.hpp"
+#include "records/record_keys.hpp"
+#include "records/record_sizes.hpp"
+#include "records/suspect_record.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
@@ -29,6 +40,8 @@
 using planning::bidder;
 using planning::rental_offer;
 using planning::round_bid;
+using records::durable_write;
+using records::write_kind;
 
 // Keys in the key-value store.
 std::string active_key(const std::string &job);
@@ -43,24 +56,8 @@
 inline constexpr const char *done_prefix = "d/";
 inline constexpr const char *rental_prefix = "m/";
 inline constexpr const char *types_key = "c/types";
-inline constexpr const char *suspects_key = "f/suspects";
 inline constexpr const char *leader_key = "leader";
 
-enum class write_kind { placed, done, job_end, cleanup, rental_request, suspects };
-
-// A change that must be durable before its consequence.
-struct durable_write {
-    write_kind kind = write_kind::placed;
-    std::string job;
-    std::vector<txn_condition> when; // on keys that others write too
-    std::vector<txn_op> ops;         // on keys that only the leader writes, and the job's record
-    std::string segment;             // placed, done: the record's name
-    std::vector<std::pair<catalog::task_ref, std::uint64_t>> attempts; // placed: newly covered
-    std::vector<catalog::task_ref> done;                               // done: newly covered
-    std::string rental_request;                                        // rental: the round's name
-    std::vector<std::string> suspects;                                 // suspects: the jobs
-};
-
 struct tracked_rental {
     rental_request what;
     std::string round;                 // the record that names it
@@ -82,7 +79,7 @@
     void load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
                   time_point now);
     void load_done(const std::string &record, const std::vector<wire::done_part> &parts);
-    void load_placed(const std::string &segment, const std::vector<wire::placed_task> &tasks,
+    void load_placed(const std::string &record, const std::vector<wire::placed_task> &tasks,
                      time_point now);
     // A placement record can't be read: what it names may run anywhere until each worker has
     // reported or its lease is over, and nothing starts before.
@@ -188,8 +185,6 @@
     void quarantine_faulty();
     // A suspect job is retried one task at a time.
     bool may_place(const job_t &j, time_point now) const;
-    void write_suspects(std::vector<durable_write> &out, time_point now);
-    void cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now);
     // Work that saves may do so before it makes room; other work would only lose the time.
     static seconds grace_of(const job_spec &s) {
         return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
@@ -229,31 +224,22 @@
     void count_usage();
     void mark_guaranteed();
     fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
-    durable_write end_write(const job_t &j, time_point now);
-    // --- dependencies (engine_dependencies.cpp) ---
-    void add_dependencies(job_t &j, time_point now);
-    void follow(const catalog::dependency_graph::changes &changes, time_point now);
-    seconds chain_duration(const job_t &j) const;
-    std::optional<fairness::chain_member> chain_member_of(const std::string &id) const;
-    void inherit_along_chains();
-    void note_own_end(const durable_write &end, time_point now);
-    void take_inherited(const std::string &id, const fairness::inherited &from);
-    void on_placements_written(const durable_write &w, bool ok, time_point now);
-    void write_placements(std::vector<durable_write> &out, time_point now);
-    std::string open_done_record(std::size_t bytes);
-    std::size_t most_record_bytes() const;
-    void note_done(job_t &j, std::uint32_t index, time_point now);
-    void write_done(std::vector<durable_write> &out, time_point now, std::size_t &room);
-    void on_done_written(const durable_write &w, bool ok, time_point now);
-    void sweep_segments(time_point now);
-    void clean_up(const std::string &key);
+    void inherit_along_chains() { inheritance_.update(dependencies_.graph()); }
+    // The task has an attempt whose placement is to be recorded.
+    void add_unplaced(const catalog::task_ref &task, job_shape shape) {
+        placements_.add(task, shape);
+    }
+    void note_done(job_t &done_in, std::uint32_t index, time_point now) {
+        done_records_.note_done(done_in, index, now);
+    }
+    std::size_t most_record_bytes() const { return records::most_record_bytes(settings_); }
     void write_rentals(std::vector<durable_write> &out);
 
     settings::settings settings_;
     model::cluster_state state_;
     fairness::team_queues teams_;
-    catalog::dependency_graph graph_;       // of jobs_; its times are of the steady clock
-    std::set<std::string> inheriting_;      // jobs whose priority or due times come from others
+    dependencies::dependency_tracker dependencies_{settings_, state_};
+    dependencies::chain_inheritance inheritance_{settings_, state_, teams_};
     std::map<std::string, bidder> bidders_; // of machines, as last worked out
     std::map<std::string, tracked_rental> rentals_;
     struct rental_round {
@@ -264,35 +250,12 @@
     std::set<std::string> sold_out_;   // offers whose last answer was not all that was asked for
     std::map<std::string, int> asked_; // machines asked for by offer, not answered yet
     static std::string offer_key(const std::string &type, const std::string &zone, bool spot);
-    std::vector<std::string> suspects_written_; // as the record at the key-value store has them
-    bool suspects_busy_ = false;
-    std::optional<time_point> suspects_at_; // s; when the record was last written
-    std::vector<durable_write> cleanup_;
-    // Placements of any jobs share records, filled one after another, so that a round of placements
-    // costs one change at the key-value store, however many jobs it touches.
-    struct segment {
-        std::vector<wire::placed_task> tasks;
-        std::size_t bytes = 0;
-        bool busy = false, open = true;
-    };
-    std::map<std::string, segment> segments_;
-    // Done tasks share records in the same way: at full size one for each job would take more
-    // changes a second than the key-value store allows.
-    struct done_record {
-        std::set<std::pair<std::string, std::uint32_t>> parts; // of jobs
-        std::size_t bytes = 0;
-        bool busy = false, open = true, dirty = false;
-        bool too_large = false; // to be written again under the present limits
-        time_point since{};     // s; when it became dirty
-    };
-    std::map<std::string, done_record> done_records_;
-    std::string open_done_;
-    std::uint64_t done_counter_ = 0;
-    std::string open_segment_[2];               // of arrays; of services, which stay for long
-    std::deque<catalog::task_ref> unplaced_[2]; // attempts that no record covers yet
-    std::uint64_t segment_counter_ = 0;
-    std::optional<time_point> last_sweep_;
-    std::optional<time_point> next_placement_; // s
+    records::job_loader job_loader_{state_, dependencies_};
+    records::placement_records placements_{settings_, state_};
+    records::done_records done_records_{settings_, state_};
+    records::job_ends job_ends_{state_};
+    records::suspect_record suspect_record_{settings_, state_};
+    records::record_cleanup cleanup_;
 
     std::uint64_t rental_counter_ = 0, rental_round_ = 0;
     std::optional<time_point> rental_round_at_; // s
--- a/src/control/scheduler_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -557,7 +557,7 @@
         a.estimate = t.estimate;
         m.idle_since = now;
         state_.add_attempt(*j, std::move(a));
-        unplaced_[j->spec.shape == job_shape::service].push_back(t.task);
+        add_unplaced(t.task, j->spec.shape);
     }
 }
 
--- /dev/null
+++ b/src/dependencies/chain_inheritance.cpp
@@ -0,0 +1,89 @@
+#include "dependencies/chain_inheritance.hpp"
+#include "constants.hpp"
+#include "planning/bidder.hpp"
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace spindlecroft::dependencies {
+
+void chain_inheritance::update(const catalog::dependency_graph &graph) {
+    if (graph.nodes().empty() && inheriting_.empty())
+        return;
+    auto inherited =
+        fairness::inherit(graph, [this](const std::string &id) { return member_of(id); });
+    auto former = std::exchange(inheriting_, {});
+    for (const auto &[id, from] : inherited) {
+        inheriting_.insert(id);
+        former.erase(id);
+        assign(id, from);
+    }
+    for (const auto &id : former)
+        assign(id, {});
+}
+
+std::optional<fairness::chain_member> chain_inheritance::member_of(const std::string &id) const {
+    const auto *job = state_.find_job(id);
+    if (!job || job->over())
+        return {};
+    fairness::chain_member member;
+    member.priority = job->own_priority;
+    member.duration = duration(*job);
+    if (auto own = job->spec.deadline.value_or(seconds{}); own > seconds{})
+        member.due = due_times_of(*job, own);
+    return member;
+}
+
+fairness::due_times chain_inheritance::due_times_of(const catalog::job &job, seconds own) const {
+    seconds latest = own;
+    for (const auto &objective : settings_.objectives)
+        if (objective.job_class == job.spec.job_class)
+            latest = std::max(latest, own * objective.times);
+    return fairness::due_times{job.accepted_at + own, job.accepted_at + latest};
+}
+
+// From its readiness to its end: fetching the image, and running its tasks in waves.
+seconds chain_inheritance::duration(const catalog::job &job) const {
+    return constants::chain_stage + slowest_image_fetch(job.spec) +
+           waves(job) * constants::chain_run_margin * state_.expected_run_time(job);
+}
+
+// As many waves as its team's limit makes of its tasks.
+double chain_inheritance::waves(const catalog::job &job) const {
+    const auto &spec = job.spec;
+    double tasks = spec.tasks - job.done_seen;
+    double count = 1;
+    const auto *team = teams_.find(spec.team);
+    if (!team)
+        return count;
+    if (team->cpus_max > 0)
+        count = std::max(count, std::ceil(tasks * spec.cpus / team->cpus_max));
+    if (team->gpus_max > 0)
+        count = std::max(count, std::ceil(tasks * spec.gpus / team->gpus_max));
+    return count;
+}
+
+seconds chain_inheritance::slowest_image_fetch(const job_spec &spec) const {
+    double slowest = 0; // GB/s; 0: of no type known
+    for (const auto &type : state_.types())
+        if (planning::type_allowed(spec, type.name) && type.fetch_gb_per_s > 0)
+            slowest = slowest > 0 ? std::min(slowest, type.fetch_gb_per_s) : type.fetch_gb_per_s;
+    return seconds{slowest > 0 ? spec.image_gb / slowest : 0};
+}
+
+void chain_inheritance::assign(const std::string &id, const fairness::inherited &from) {
+    auto *job = state_.find_job(id);
+    if (!job)
+        return;
+    job->inherited_first_due = from.due ? std::optional(from.due->first) : std::nullopt;
+    job->inherited_last_due = from.due ? std::optional(from.due->last) : std::nullopt;
+    auto priority = std::min(job->own_priority, from.priority);
+    if (priority == job->spec.priority)
+        return;
+    job->spec.priority = priority;
+    for (const auto &[index, attempt] : job->live)
+        if (auto *machine = state_.find_machine(attempt.machine))
+            machine->touch(); // which room its tasks leave to others depends on the priority
+}
+
+} // namespace spindlecroft::dependencies
--- /dev/null
+++ b/src/dependencies/chain_inheritance.hpp
@@ -0,0 +1,42 @@
+// What a job inherits from the unfinished jobs that depend on it: their priority, and due times
+// early enough for them to be on time.
+#pragma once
+#include "catalog/dependency_graph.hpp"
+#include "catalog/job.hpp"
+#include "common/time.hpp"
+#include "fairness/chain_order.hpp"
+#include "fairness/team_queues.hpp"
+#include "model/cluster_state.hpp"
+#include "settings/settings.hpp"
+#include <optional>
+#include <set>
+#include <string>
+
+namespace spindlecroft::dependencies {
+
+// Keeps the inherited priorities and due times of the jobs up to date.
+class chain_inheritance {
+  public:
+    // All of them must outlive this.
+    chain_inheritance(const settings::settings &settings, model::cluster_state &state,
+                      const fairness::team_queues &teams)
+        : settings_(settings), state_(state), teams_(teams) {}
+
+    // Works out anew what each job inherits along the graph.
+    void update(const catalog::dependency_graph &graph);
+
+  private:
+    [[nodiscard]] std::optional<fairness::chain_member> member_of(const std::string &id) const;
+    [[nodiscard]] fairness::due_times due_times_of(const catalog::job &job, seconds own) const;
+    [[nodiscard]] seconds duration(const catalog::job &job) const;
+    [[nodiscard]] double waves(const catalog::job &job) const;
+    [[nodiscard]] seconds slowest_image_fetch(const job_spec &spec) const;
+    void assign(const std::string &id, const fairness::inherited &from);
+
+    const settings::settings &settings_;
+    model::cluster_state &state_;
+    const fairness::team_queues &teams_;
+    std::set<std::string> inheriting_; // jobs whose priority or due times come from others
+};
+
+} // namespace spindlecroft::dependencies
--- /dev/null
+++ b/src/records/done_records.hpp
@@ -0,0 +1,81 @@
+// Records of done tasks. All jobs share a few of them until the job's ended record tells the rest:
+// at full size one for each job would take more changes a second than the key-value store allows.
+#pragma once
+#include "catalog/job.hpp"
+#include "common/time.hpp"
+#include "model/cluster_state.hpp"
+#include "records/durable_write.hpp"
+#include "records/record_names.hpp"
+#include "settings/settings.hpp"
+#include "wire/codec.hpp"
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace spindlecroft::records {
+
+// Keeps which part of which job's tasks is in which record, and writes what changed.
+class done_records {
+  public:
+    // Both must outlive this.
+    done_records(const settings::settings &settings, model::cluster_state &state)
+        : settings_(settings), state_(state) {}
+
+    // A record of an earlier leader.
+    void load(const std::string &name, const std::vector<wire::done_part> &parts);
+    // A task was seen done; it is to be recorded.
+    void note_done(catalog::job &job, std::uint32_t index, time_point now);
+    // Appends the writes that are due, at most `room` of them, and lowers `room` accordingly.
+    void take_writes(std::vector<durable_write> &out, time_point now, std::size_t &room);
+    void on_written(const durable_write &write, bool ok, time_point now);
+    // Forgets records whose jobs have all ended; the keys to delete.
+    [[nodiscard]] std::vector<std::string> take_ended();
+
+  private:
+    // A range of a job's tasks, recorded together.
+    struct job_part {
+        std::string job;
+        std::uint32_t number = 0;
+        auto operator<=>(const job_part &) const = default;
+    };
+    enum class capacity {
+        open,      // takes further parts
+        closed,    // takes none
+        too_large, // can't even be written again under the present limits
+    };
+    struct record {
+        std::set<job_part> parts;
+        std::size_t bytes = 0;
+        capacity takes = capacity::open;
+        bool writing = false;                  // a write of it is under way
+        std::optional<time_point> dirty_since; // nothing: all of it is written
+    };
+    struct due_record {
+        time_point since{};
+        std::string name;
+        auto operator<=>(const due_record &) const = default;
+    };
+
+    void load_part(const std::string &name, record &into, const wire::done_part &part);
+    [[nodiscard]] std::string open_record(std::size_t bytes);
+    // Finds room for a part of the job; the name of its record.
+    [[nodiscard]] std::string place(const catalog::job &job, std::uint32_t part);
+    [[nodiscard]] std::vector<due_record> due_records(time_point now) const;
+    // Nothing, if the record tells nothing new.
+    [[nodiscard]] std::optional<durable_write> write_of(const std::string &name, record &written);
+    void drop_ended_parts(record &from);
+    void confirm(const catalog::task_ref &task);
+
+    const settings::settings &settings_;
+    model::cluster_state &state_;
+    std::map<std::string, record> records_;
+    std::string open_record_; // empty: none yet
+    record_names names_;
+};
+
+} // namespace spindlecroft::records
--- /dev/null
+++ b/src/records/job_ends.cpp
@@ -0,0 +1,68 @@
+#include "records/job_ends.hpp"
+#include "constants.hpp"
+#include "records/record_keys.hpp"
+#include "wire/codec.hpp"
+#include <algorithm>
+
+namespace spindlecroft::records {
+
+namespace {
+
+// Every task is done and every attempt is over.
+bool is_complete(const catalog::job &job) {
+    if (job.cancelled || job.spec.shape != job_shape::array || job.done_seen != job.spec.tasks)
+        return false;
+    return std::all_of(job.live.begin(), job.live.end(), [](const auto &live) {
+        return live.second.phase == catalog::attempt_phase::exited;
+    });
+}
+
+bool may_end(const catalog::job &job) {
+    bool cleared = job.cancelled && job.live.empty();
+    return cleared || is_complete(job);
+}
+
+} // namespace
+
+void job_ends::take_writes(std::vector<durable_write> &out, time_point now) {
+    for (auto &[id, job] : state_.jobs()) {
+        if (job.end_writing || job.ended || now < job.write_after || !may_end(job))
+            continue;
+        job.end_writing = true;
+        out.push_back(write_of(job, now));
+    }
+}
+
+durable_write job_ends::write_of(const catalog::job &job, time_point now) const {
+    durable_write write;
+    write.kind = write_kind::job_end;
+    write.job = job.spec.id;
+    write.when.push_back({active_key(write.job), job.version});
+    write.ops.push_back({active_key(write.job), "", 0});
+    wire::ended_record ended;
+    ended.state = job.cancelled ? job_state::cancelled : job_state::done;
+    ended.done = job.done_seen;
+    ended.at = state_.term().clock.to_wall(now); // from then on those that wait for it are ready
+    write.ops.push_back({ended_key(write.job), wire::encode_ended(ended), 0});
+    return write;
+}
+
+std::optional<catalog::wall_predecessor_end> job_ends::on_written(const durable_write &write,
+                                                                  bool ok, time_point now) {
+    auto *job = state_.find_job(write.job);
+    if (!job)
+        return std::nullopt;
+    if (!ok) {
+        // A cancel came first; the watch will tell.
+        job->end_writing = false;
+        job->write_after = now + constants::state_retry;
+        return std::nullopt;
+    }
+    while (!job->live.empty())
+        state_.release_attempt(*job, job->live.begin()->first, false);
+    state_.remove_job(write.job);
+    auto ended = wire::parse_ended(write.ops.back().value);
+    return catalog::wall_predecessor_end{ended.state, ended.at};
+}
+
+} // namespace spindlecroft::records
--- /dev/null
+++ b/src/records/placement_records.hpp
@@ -0,0 +1,93 @@
+// Records of placements: which attempt of a task is on which machine. A task is started only once
+// its placement is durable.
+//
+// Placements of any jobs share records, filled one after another, so that a round of placements
+// costs one change at the key-value store, however many jobs it touches.
+#pragma once
+#include "catalog/job.hpp"
+#include "common/time.hpp"
+#include "model/cluster_state.hpp"
+#include "records/durable_write.hpp"
+#include "records/record_names.hpp"
+#include "settings/settings.hpp"
+#include "wire/codec.hpp"
+#include <cstddef>
+#include <deque>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace spindlecroft::records {
+
+// Collects attempts that no record covers yet into records, and follows up on their writes.
+class placement_records {
+  public:
+    // Both must outlive this.
+    placement_records(const settings::settings &settings, model::cluster_state &state)
+        : settings_(settings), state_(state) {}
+
+    // A record of an earlier leader.
+    void load(const std::string &name, const std::vector<wire::placed_task> &tasks, time_point now);
+    // The task has an attempt that is to be placed durably.
+    void add(const catalog::task_ref &task, job_shape shape);
+    // Appends the writes that can be made now.
+    void take_writes(std::vector<durable_write> &out, time_point now);
+    void on_written(const durable_write &write, bool ok, time_point now);
+    // Forgets records whose placements have all ended; the keys to delete.
+    [[nodiscard]] std::vector<std::string> take_ended();
+
+  private:
+    struct record {
+        std::vector<wire::placed_task> tasks;
+        bool writing = false; // a write of it is under way
+        bool open = true;     // takes further placements
+    };
+    // Services stay for long, so they don't share records with arrays.
+    enum class task_group { arrays, services };
+    struct queue {
+        std::deque<catalog::task_ref> waiting; // attempts that no record covers yet
+        std::string open_record;               // empty: none
+    };
+    // A write that is being put together, and the record it extends.
+    struct draft {
+        durable_write write;
+        std::set<std::string> jobs; // named in its conditions
+        std::size_t bytes = 0;      // of the record
+        bool full = false;          // the next placement did not fit
+    };
+    enum class verdict {
+        take,
+        postpone, // to a later write
+        drop,     // nothing to record any more
+        full,     // into the next record
+    };
+
+    void load_task(record &into, const wire::placed_task &task, time_point now);
+    void take_writes_of(task_group group, std::vector<durable_write> &out, time_point now);
+    [[nodiscard]] record &open_record(queue &from);
+    [[nodiscard]] draft begin_draft(const std::string &name, record &extended);
+    void fill(draft &filled, record &extended, queue &from, time_point now);
+    [[nodiscard]] verdict judge(const draft &filled, const catalog::task_ref &task, time_point now);
+    [[nodiscard]] wire::placed_task placement_of(const catalog::task_ref &task) const;
+    void cover(draft &filled, record &extended, const catalog::task_ref &task);
+    void drop_ended_tasks(record &from);
+    void confirm(const placed_attempt &placed, bool ok, time_point now);
+    [[nodiscard]] queue &queue_of(task_group group);
+    // At most so many jobs can one write name.
+    [[nodiscard]] std::size_t most_jobs() const;
+    [[nodiscard]] std::size_t most_bytes() const;
+    // The time between two writes of placements of arrays.
+    [[nodiscard]] seconds write_gap() const;
+
+    const settings::settings &settings_;
+    model::cluster_state &state_;
+    std::map<std::string, record> records_;
+    queue arrays_;
+    queue services_;
+    record_names names_;
+    std::optional<time_point> next_array_write_;
+};
+
+} // namespace spindlecroft::records
--- /dev/null
+++ b/src/records/record_names.cpp
@@ -0,0 +1,10 @@
+#include "records/record_names.hpp"
+#include <fmt/format.h>
+
+namespace spindlecroft::records {
+
+std::string record_names::next(const model::leadership_term &term) {
+    return fmt::format("{}-{}", term.first_token, ++count_);
+}
+
+} // namespace spindlecroft::records
--- /dev/null
+++ b/src/records/suspect_record.cpp
@@ -0,0 +1,54 @@
+#include "records/suspect_record.hpp"
+#include "constants.hpp"
+#include "records/record_keys.hpp"
+#include "records/record_sizes.hpp"
+#include "wire/codec.hpp"
+#include <cstddef>
+#include <utility>
+
+namespace spindlecroft::records {
+
+void suspect_record::load(const std::vector<std::string> &jobs, time_point now) {
+    stored_ = jobs;
+    for (const auto &id : jobs)
+        if (state_.find_job(id))
+            state_.failures().load_suspect(id, now);
+}
+
+// Guards against a new leader that tries every task of a job that fails everywhere once more, and
+// blames the machines for it.
+void suspect_record::take_writes(std::vector<durable_write> &out, time_point now) {
+    if (writing_ || !elapsed(last_write_, constants::suspects_gap, now))
+        return;
+    auto jobs = suspects_that_fit();
+    if (jobs == stored_)
+        return;
+    last_write_ = now;
+    writing_ = true;
+    durable_write write;
+    write.kind = write_kind::suspects;
+    write.ops.push_back({suspects_key, wire::encode_suspects(jobs), 0});
+    write.suspects = std::move(jobs);
+    out.push_back(std::move(write));
+}
+
+std::vector<std::string> suspect_record::suspects_that_fit() const {
+    auto most = most_record_bytes(settings_);
+    auto bytes = wire::suspects_bytes("");
+    std::vector<std::string> jobs;
+    for (const auto &id : state_.failures().suspects()) {
+        bytes += wire::suspects_bytes(id);
+        if (bytes > most)
+            break;
+        jobs.push_back(id);
+    }
+    return jobs;
+}
+
+void suspect_record::on_written(const durable_write &write, bool ok) {
+    writing_ = false;
+    if (ok)
+        stored_ = write.suspects;
+}
+
+} // namespace spindlecroft::records
