--- /dev/null
+++ b/tests/records_test.cpp
@@ -0,0 +1,253 @@
+// The parts that keep durable records, each alone on a small cluster state.
+#include "constants.hpp"
+#include "model/cluster_state.hpp"
+#include "records/done_records.hpp"
+#include "records/job_ends.hpp"
+#include "records/placement_records.hpp"
+#include "records/record_cleanup.hpp"
+#include "test_time.hpp"
+#include "trace_runner.hpp"
+#include "wire/codec.hpp"
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
+using namespace spindlecroft;
+using namespace std::chrono_literals;
+using catalog::attempt_phase;
+using records::durable_write;
+using test::at;
+
+namespace {
+
+struct small_cluster {
+    settings::settings settings = test::small_settings();
+    model::cluster_state state{settings, test::small_types()};
+
+    small_cluster() {
+        state.begin_term({7, 7, at(0), {}});
+        auto &machine = state.ensure_machine("i-1", at(0));
+        state.describe_machine(machine, "small", "a", false, "");
+        machine.up = true;
+    }
+
+    catalog::job &add_job(const std::string &id, std::uint32_t tasks) {
+        catalog::job added;
+        added.spec = test::small_job(id);
+        added.spec.tasks = tasks;
+        added.version = 1;
+        added.done.assign(tasks, false);
+        added.done_durable.assign(tasks, false);
+        return state.add_job(id, std::move(added));
+    }
+
+    catalog::attempt &add_attempt(catalog::job &of, std::uint32_t index,
+                                  attempt_phase phase = attempt_phase::committing) {
+        catalog::attempt added;
+        added.task = {of.spec.id, index};
+        added.number = state.next_attempt_number();
+        added.machine = "i-1";
+        added.phase = phase;
+        return state.add_attempt(of, std::move(added));
+    }
+
+    // A task that waits for its placement to be recorded.
+    void add_unplaced(records::placement_records &placements, const std::string &job) {
+        auto &of = state.find_job(job) ? *state.find_job(job) : add_job(job, 1);
+        add_attempt(of, 0);
+        placements.add({job, 0}, of.spec.shape);
+    }
+};
+
+template <class Part>
+std::vector<durable_write> writes_of(Part &part, time_point now) {
+    std::vector<durable_write> out;
+    part.take_writes(out, now);
+    return out;
+}
+
+std::vector<durable_write> done_writes(records::done_records &part, time_point now) {
+    std::vector<durable_write> out;
+    std::size_t room = 100;
+    part.take_writes(out, now, room);
+    return out;
+}
+
+void see_done(records::done_records &part, catalog::job &job, std::uint32_t index, time_point now) {
+    job.done[index] = true;
+    ++job.done_seen;
+    part.note_done(job, index, now);
+}
+
+} // namespace
+
+// --- placements ---
+
+TEST(placement_records, a_write_names_no_more_jobs_than_its_conditions_allow) {
+    small_cluster cluster;
+    cluster.settings.txn_ops = 4; // 16 conditions, 2 of them taken
+    records::placement_records placements(cluster.settings, cluster.state);
+    for (int number = 0; number < 20; ++number)
+        cluster.add_unplaced(placements, fmt::format("job-{}", number));
+    auto writes = writes_of(placements, at(1));
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_EQ(writes.front().when.size(), 14u);
+    EXPECT_EQ(writes.front().attempts.size(), 14u);
+    placements.on_written(writes.front(), true, at(1));
+    writes = writes_of(placements, at(100));
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_EQ(writes.front().attempts.size(), 6u);
+    EXPECT_EQ(wire::parse_placed(writes.front().ops.front().value).size(), 20u)
+        << "the record still names the first 14";
+}
+
+TEST(placement_records, nothing_is_written_to_a_record_while_a_write_of_it_is_under_way) {
+    small_cluster cluster;
+    records::placement_records placements(cluster.settings, cluster.state);
+    cluster.add_unplaced(placements, "first");
+    auto writes = writes_of(placements, at(1));
+    ASSERT_EQ(writes.size(), 1u);
+    cluster.add_unplaced(placements, "second");
+    EXPECT_TRUE(writes_of(placements, at(100)).empty());
+    placements.on_written(writes.front(), true, at(100));
+    EXPECT_EQ(writes_of(placements, at(100)).size(), 1u);
+}
+
+TEST(placement_records, a_start_may_be_sent_once_the_placement_is_durable) {
+    small_cluster cluster;
+    records::placement_records placements(cluster.settings, cluster.state);
+    cluster.add_unplaced(placements, "job");
+    auto writes = writes_of(placements, at(1));
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_EQ(cluster.state.find_attempt({"job", 0})->phase, attempt_phase::committing);
+    placements.on_written(writes.front(), true, at(2));
+    const auto *placed = cluster.state.find_attempt({"job", 0});
+    ASSERT_NE(placed, nullptr);
+    EXPECT_EQ(placed->phase, attempt_phase::committed);
+}
+
+TEST(placement_records, a_refused_placement_is_given_up_and_its_job_pauses) {
+    small_cluster cluster;
+    records::placement_records placements(cluster.settings, cluster.state);
+    cluster.add_unplaced(placements, "job");
+    auto writes = writes_of(placements, at(1));
+    ASSERT_EQ(writes.size(), 1u);
+    placements.on_written(writes.front(), false, at(2));
+    EXPECT_EQ(cluster.state.find_attempt({"job", 0}), nullptr);
+    EXPECT_EQ(cluster.state.find_job("job")->write_after, at(2) + constants::state_retry);
+}
+
+TEST(placement_records, services_and_arrays_do_not_share_records) {
+    small_cluster cluster;
+    records::placement_records placements(cluster.settings, cluster.state);
+    auto &service = cluster.add_job("service", 1);
+    service.spec.shape = job_shape::service;
+    cluster.add_unplaced(placements, "service");
+    cluster.add_unplaced(placements, "array");
+    auto writes = writes_of(placements, at(1));
+    ASSERT_EQ(writes.size(), 2u);
+    EXPECT_EQ(writes[0].attempts.front().task.job, "array") << "arrays go first";
+    EXPECT_EQ(writes[1].attempts.front().task.job, "service");
+    EXPECT_NE(writes[0].record, writes[1].record);
+}
+
+// --- done tasks ---
+
+TEST(done_records, a_done_task_is_durable_once_its_record_is_written) {
+    small_cluster cluster;
+    records::done_records done(cluster.settings, cluster.state);
+    auto &job = cluster.add_job("job", 3);
+    see_done(done, job, 1, at(1));
+    auto writes = done_writes(done, at(1) + constants::done_gap);
+    ASSERT_EQ(writes.size(), 1u);
+    auto parts = wire::parse_done(writes.front().ops.front().value);
+    ASSERT_EQ(parts.size(), 1u);
+    EXPECT_EQ(parts.front().bits, (std::vector<bool>{false, true, false, false}))
+        << "whole hexadecimal digits";
+    EXPECT_EQ(job.done_count, 0u);
+    done.on_written(writes.front(), true, at(10));
+    EXPECT_EQ(job.done_count, 1u);
+    EXPECT_TRUE(job.done_durable[1]);
+}
+
+TEST(done_records, a_part_in_a_record_that_has_become_too_large_goes_into_another) {
+    small_cluster cluster;
+    auto &job = cluster.add_job("job", 3);
+    auto limit = cluster.settings.value_kb;
+    cluster.settings.value_kb = 0; // no record fits any more
+    records::done_records done(cluster.settings, cluster.state);
+    done.load("3-1", {{"job", 0, {true, false, false}}});
+    ASSERT_EQ(job.done_in[0], "3-1");
+    cluster.settings.value_kb = limit;
+    see_done(done, job, 1, at(1));
+    EXPECT_EQ(job.done_in[0], "7-1");
+    auto writes = done_writes(done, at(1) + constants::done_gap);
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_EQ(writes.front().record, "7-1");
+}
+
+TEST(done_records, a_refused_write_is_repeated_after_a_pause) {
+    small_cluster cluster;
+    records::done_records done(cluster.settings, cluster.state);
+    auto &job = cluster.add_job("job", 3);
+    see_done(done, job, 1, at(1));
+    auto writes = done_writes(done, at(10));
+    ASSERT_EQ(writes.size(), 1u);
+    done.on_written(writes.front(), false, at(10));
+    EXPECT_FALSE(job.done_durable[1]);
+    EXPECT_TRUE(done_writes(done, at(10) + constants::state_retry / 2).empty());
+    EXPECT_EQ(done_writes(done, at(10) + constants::state_retry * 2).size(), 1u);
+}
+
+// --- ends of jobs ---
+
+TEST(job_ends, a_job_ends_only_after_every_attempt_has_exited) {
+    small_cluster cluster;
+    records::job_ends ends(cluster.state);
+    auto &job = cluster.add_job("job", 1);
+    job.done[0] = true;
+    job.done_seen = 1;
+    auto &attempt = cluster.add_attempt(job, 0, attempt_phase::running);
+    EXPECT_TRUE(writes_of(ends, at(1)).empty());
+    attempt.phase = attempt_phase::exited;
+    auto writes = writes_of(ends, at(2));
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_TRUE(writes_of(ends, at(2)).empty()) << "one write is enough";
+    auto end = ends.on_written(writes.front(), true, at(3));
+    ASSERT_TRUE(end);
+    EXPECT_EQ(end->state, job_state::done);
+    EXPECT_EQ(cluster.state.find_job("job"), nullptr);
+}
+
+TEST(job_ends, a_refused_end_is_tried_again_after_a_pause) {
+    small_cluster cluster;
+    records::job_ends ends(cluster.state);
+    cluster.add_job("job", 1).cancelled = true;
+    auto writes = writes_of(ends, at(1));
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_FALSE(ends.on_written(writes.front(), false, at(2)));
+    EXPECT_TRUE(writes_of(ends, at(2)).empty());
+    EXPECT_EQ(writes_of(ends, at(2) + constants::state_retry).size(), 1u);
+}
+
+// --- cleanup ---
+
+TEST(record_cleanup, a_closed_record_is_deleted_once_its_placements_have_ended) {
+    small_cluster cluster;
+    records::placement_records placements(cluster.settings, cluster.state);
+    records::done_records done(cluster.settings, cluster.state);
+    records::record_cleanup cleanup;
+    auto &job = cluster.add_job("job", 1);
+    placements.load("3-1", {{"job", 0, 1, "i-1"}}, at(1));
+    cleanup.sweep(placements, done, at(1));
+    std::vector<durable_write> out;
+    std::size_t room = 1;
+    cleanup.take_writes(out, room);
+    EXPECT_TRUE(out.empty());
+    cluster.state.release_attempt(job, 0, true);
+    cleanup.sweep(placements, done, at(1) + constants::sweep_gap);
+    cleanup.take_writes(out, room);
+    ASSERT_EQ(out.size(), 1u);
+    EXPECT_EQ(out.front().ops.front().key, "p/3-1");
+    EXPECT_TRUE(out.front().ops.front().value.empty());
+    EXPECT_EQ(room, 0u);
+}
