--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -16,7 +16,7 @@
 request_priority priority_of(write_kind kind) {
     switch (kind) {
     case write_kind::placed:
-    case write_kind::rental_request:
+    case write_kind::rental:
         return request_priority::placement;
     case write_kind::job_end:
         return request_priority::accept; // users wait for it
@@ -91,7 +91,7 @@
         if (outcome == store::write_outcome::lost || !core)
             return;
         bool committed = outcome == store::write_outcome::committed;
-        core->on_written(write, committed, revision, steady_now());
+        core->on_written(write, committed, steady_now());
         by->wake.notify();
     };
     auto &writer = is_ending(write) ? by_->endings : by_->placements;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -32,7 +32,7 @@
     for (auto now = at(1); now < at(200); now += seconds{0.5}) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, 100, now);
+            core.on_written(w, true, now);
         std::map<std::string, int> now_asked;
         for (auto &q : core.take_rentals(now)) {
             ++now_asked[q.type + q.zone + (q.spot ? "spot" : "")];
@@ -61,7 +61,7 @@
         core.on_job("job-1", array_of(1), 7, at(0));
         core.tick(at(3));
         for (auto &w : core.take_writes(at(3)))
-            core.on_written(w, true, 100, at(3));
+            core.on_written(w, true, at(3));
         auto rentals = core.take_rentals(at(3));
         ASSERT_EQ(rentals.size(), 1u);
         EXPECT_EQ(rentals[0].type, slow_boot < 40s ? "small" : "large");
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -166,7 +166,7 @@
                         EXPECT_TRUE(part.bits.at(7)) << "what was done before is there too";
                         told.insert(part.job);
                     }
-            core.on_written(w, true, 50, now);
+            core.on_written(w, true, now);
         }
     }
     EXPECT_EQ(told.size(), 100u);
@@ -210,7 +210,7 @@
             EXPECT_LE(w.when.size() + w.ops.size() + 1, 4 * static_cast<std::size_t>(conf.txn_ops));
             for (auto &o : w.ops)
                 EXPECT_LE(o.value.size(), record_limit(conf)) << o.key;
-            core.on_written(w, true, 50 + writes, now);
+            core.on_written(w, true, now);
         }
     }
     EXPECT_GT(writes, 20u);
@@ -263,7 +263,7 @@
         core.tick(now);
         deleted += core.take_deletions(now).size();
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, 50, now);
+            core.on_written(w, true, now);
     }
     EXPECT_EQ(core.machines().size(), static_cast<std::size_t>(machines));
     EXPECT_EQ(deleted, 0u);
@@ -273,7 +273,7 @@
     for (int round = 0; round < 20; ++round, now += 2s) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, 50, now);
+            core.on_written(w, true, now);
         for (auto &q : core.take_rentals(now))
             rented += q.count;
     }
--- a/tests/simulated_store.cpp
+++ b/tests/simulated_store.cpp
@@ -66,11 +66,11 @@
                     versions[o.key] = kv.at(o.key).second;
             }
     if (!chance(0.02) || ok)
-        leader->on_written(t.write, ok, revision, now);
+        leader->on_written(t.write, ok, now);
     else
         at(now + 1s, [this, leader, w = t.write] {
             if (leader == scheduler)
-                leader->on_written(w, false, revision, now);
+                leader->on_written(w, false, now);
         });
 }
 
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -261,7 +261,7 @@
             } else {
                 say("refused: " + w.ops.front().key);
             }
-            core->on_written(w, ok, revision, given.now);
+            core->on_written(w, ok, given.now);
         }
     }
 
