--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -27,7 +27,12 @@
 }
 
 scheduler::scheduler(const settings::settings &s, std::vector<machine_type> types)
-    : settings_(s), state_(settings_, std::move(types)), teams_(s.teams) {}
+    : settings_(s), state_(settings_, std::move(types)),
+      planner_(settings_, state_,
+               [this](const catalog::task_ref &task, job_shape shape) {
+                   unplaced_[shape == job_shape::service].push_back(task);
+               }),
+      teams_(planner_.quota().teams()) {}
 
 // --- taking over ---
 
@@ -523,14 +528,6 @@
     }
 }
 
-bool scheduler::may_place(const job_t &j, time_point now) const {
-    if (j.waiting() == 0 || now < j.backoff_until)
-        return false;
-    if (!state_.failures().is_suspect(j.spec.id))
-        return true;
-    return now >= state_.failures().retry_at(j.spec.id) && j.queued.empty() && j.live.empty();
-}
-
 void scheduler::load_suspects(const std::vector<std::string> &jobs, time_point now) {
     suspects_written_ = jobs;
     for (auto &id : jobs)
@@ -797,7 +794,7 @@
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
                        "{} queued {} waiting, {} stopped to make room",
                        up, booting, spot, state_.jobs().size(), attempts, running, queued, waiting,
-                       preempted_tasks_);
+                       planner_.preempted_tasks());
 }
 
 } // namespace spindlecroft::control
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -10,6 +10,9 @@
 #include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
+#include "planning/round_planner.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
@@ -25,10 +28,8 @@
 
 namespace spindlecroft::control {
 
-using planning::bid_round;
 using planning::bidder;
 using planning::rental_offer;
-using planning::round_bid;
 
 // Keys in the key-value store.
 std::string active_key(const std::string &job);
@@ -186,14 +187,8 @@
     // Draws the conclusions about machines and jobs on which attempts failed.
     void review_failures();
     void quarantine_faulty();
-    // A suspect job is retried one task at a time.
-    bool may_place(const job_t &j, time_point now) const;
     void write_suspects(std::vector<durable_write> &out, time_point now);
     void cancel_job(job_t &j, std::optional<wall_time> told_at, time_point now);
-    // Work that saves may do so before it makes room; other work would only lose the time.
-    static seconds grace_of(const job_spec &s) {
-        return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
-    }
     void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
                                    time_point now);
     void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
@@ -203,19 +198,8 @@
     void check_cancelled(time_point now);
     void check_machines(time_point now);
     void plan_bids(time_point now);
-    void start_queued(machine_t &m, time_point now);
-    bool bid_once(job_t &j, bid_round &round, time_point now);
-    // What the machine bids for one task of the job; nothing: no room, or not in time.
-    std::optional<round_bid> bid_of(const job_t &j, bidder &b, const std::vector<char> &places,
-                                    seconds expected, bool some_failed, time_point now) const;
-    std::optional<round_bid> best_bid(const job_t &j, bid_round &round, time_point now);
-    // The places (type, zone, kind) where one more task of the job may be now.
-    std::vector<char> places_for(const job_t &j) const;
-    bidder *preempt_for_guarantee(const job_t &j, bid_round &round, time_point now);
     // The machines that may get work now, with what they hold brought up to date.
     std::vector<bidder *> make_bidders(time_point now);
-    void refresh_bidder(bidder &b, time_point now);
-    void rebid(time_point now);
     void plan_fleet(time_point now);
     std::optional<rental_offer> cheapest_offer(const job_spec &s, bool spot,
                                                const std::set<std::string> *zones,
@@ -226,9 +210,6 @@
     // How much longer than for spot machines work waits before ordinary ones are rented for it.
     double ordinary_patience(const job_spec &s) const;
     void return_idle(time_point now);
-    void count_usage();
-    void mark_guaranteed();
-    fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
     durable_write end_write(const job_t &j, time_point now);
     // --- dependencies (engine_dependencies.cpp) ---
     void add_dependencies(job_t &j, time_point now);
@@ -251,10 +232,10 @@
 
     settings::settings settings_;
     model::cluster_state state_;
-    fairness::team_queues teams_;
-    catalog::dependency_graph graph_;       // of jobs_; its times are of the steady clock
-    std::set<std::string> inheriting_;      // jobs whose priority or due times come from others
-    std::map<std::string, bidder> bidders_; // of machines, as last worked out
+    planning::round_planner planner_;
+    const fairness::team_queues &teams_; // the planner's
+    catalog::dependency_graph graph_;    // of jobs_; its times are of the steady clock
+    std::set<std::string> inheriting_;   // jobs whose priority or due times come from others
     std::map<std::string, tracked_rental> rentals_;
     struct rental_round {
         bool written = false, busy = false;
@@ -300,13 +281,10 @@
     std::optional<time_point> hold_until_; // s; no task is placed before
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_fleet_;
-    std::optional<time_point> last_rebid_;
     std::optional<time_point> last_raise_;
     std::map<std::string, time_point> zone_doubt_until_;
-    std::set<std::string> spare_;            // machines kept as warm room
-    std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
-    std::optional<time_point> last_check_;   // s
-    std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
+    std::set<std::string> spare_;                       // machines kept as warm room
+    std::optional<time_point> last_check_;              // s
     bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
 };
 
--- /dev/null
+++ b/src/planning/preemption.cpp
@@ -0,0 +1,143 @@
+// Which running work is stopped for other work.
+#include "planning/preemption.hpp"
+#include <algorithm>
+
+namespace spindlecroft::planning {
+
+seconds stop_grace(const job_spec &spec) {
+    return spec.checkpoint_interval > seconds{} ? spec.checkpoint_duration : seconds{};
+}
+
+void preemption::begin_round() {
+    candidates_known_ = false;
+    candidates_.clear();
+}
+
+// --- for guarantees ---
+
+bidder *preemption::preempt_for_guarantee(const catalog::job &job,
+                                          const std::vector<bidder *> &round_bidders,
+                                          time_point now) {
+    // Most of the time nobody is beyond its guarantee; then no machine need be looked at.
+    if (!quota_.others_beyond_guarantee(job.spec))
+        return nullptr;
+    if (!candidates_known_)
+        find_candidates(round_bidders);
+    auto allowed = allowed_classes_for(state_, job);
+    for (const auto &which : candidates_) {
+        auto *attempt = stoppable_for(job.spec, which);
+        if (!attempt)
+            continue;
+        auto *machine = machine_for(job.spec, *attempt, allowed, now);
+        if (!machine)
+            continue;
+        const auto &stopped = state_.find_job(which.task.job)->spec;
+        quota_.task_stopping(stopped);
+        stop(*attempt, stop_grace(stopped));
+        return machine;
+    }
+    return nullptr;
+}
+
+void preemption::find_candidates(const std::vector<bidder *> &round_bidders) {
+    candidates_known_ = true;
+    for (auto *machine : round_bidders) {
+        if (!machine->m->up)
+            continue;
+        state_.for_each_attempt(*machine->m,
+                                [&](const catalog::job &job, const catalog::attempt &running) {
+                                    const auto &spec = job.spec;
+                                    if (spec.shape == job_shape::array &&
+                                        quota_.cpus_beyond_guarantee(spec.team) >= spec.cpus)
+                                        candidates_.push_back({running.created_at, running.task});
+                                });
+    }
+    std::stable_sort(candidates_.begin(), candidates_.end(),
+                     [](const auto &a, const auto &b) { return a.created_at > b.created_at; });
+}
+
+catalog::attempt *preemption::stoppable_for(const job_spec &spec, const candidate &which) {
+    auto *other = state_.find_job(which.task.job);
+    if (!other || other->spec.team == spec.team)
+        return nullptr;
+    auto found = other->live.find(which.task.index);
+    if (found == other->live.end())
+        return nullptr;
+    auto &attempt = found->second;
+    if (!attempt.possibly_running() || attempt.stop_wanted)
+        return nullptr;
+    const auto &held = other->spec;
+    if (held.cpus < spec.cpus || held.gpus < spec.gpus || held.memory_gb < spec.memory_gb)
+        return nullptr;
+    if (quota_.cpus_beyond_guarantee(held.team) < held.cpus)
+        return nullptr;
+    // Guards against work that is stopped twice: idle work that took the resources of other work
+    // has to make way for the same work in turn.
+    if (spec.priority == priority_class::low && held.priority != priority_class::low)
+        return nullptr;
+    return &attempt;
+}
+
+bidder *preemption::machine_for(const job_spec &spec, const catalog::attempt &which,
+                                const allowed_classes &allowed, time_point now) {
+    auto *machine = bidders_.find(which.machine);
+    if (!machine || !allowed[machine->machine_class] || !machine->m->takes_work(now) ||
+        state_.failures().failed_on(spec.id, which.machine))
+        return nullptr;
+    return machine;
+}
+
+// --- for queued work of higher priority ---
+
+bool preemption::preempt_for_queued(machine_load &load, const job_spec &spec,
+                                    priority_class priority) {
+    // Work of lower priority makes way for critical work, and the lowest priority for all others;
+    // the last to begin loses least.
+    if (priority == priority_class::low || load.stopping)
+        return false;
+    sort_latest_of_lowest_first(load.stoppable);
+    auto free = load.free;
+    std::vector<catalog::attempt *> chosen;
+    for (auto *attempt : load.stoppable) {
+        if (free.fits(spec))
+            break;
+        const auto &job = *state_.find_job(attempt->task.job);
+        if (priority != priority_class::critical &&
+            (job.spec.priority != priority_class::low || job.live.size() <= 1))
+            continue; // the last task of a job stays: it would not begin anew for long
+        free.give(job.spec);
+        chosen.push_back(attempt);
+    }
+    if (!free.fits(spec))
+        return false;
+    bool at_once = true;
+    for (auto *attempt : chosen) {
+        seconds grace = stop_grace(state_.find_job(attempt->task.job)->spec);
+        at_once = at_once && grace <= seconds{};
+        stop(*attempt, grace);
+    }
+    // The placement is written while the others are being stopped; the start follows the commands
+    // to stop, in the same message if need be.
+    if (!at_once)
+        return false;
+    std::erase_if(load.stoppable, [](const auto *attempt) { return attempt->stop_wanted; });
+    load.free = free;
+    return true;
+}
+
+void preemption::sort_latest_of_lowest_first(std::vector<catalog::attempt *> &attempts) const {
+    auto priority_of = [&](const catalog::attempt &which) {
+        return state_.find_job(which.task.job)->spec.priority;
+    };
+    std::sort(attempts.begin(), attempts.end(), [&](const auto *a, const auto *b) {
+        auto priority_a = priority_of(*a), priority_b = priority_of(*b);
+        return priority_a != priority_b ? priority_a > priority_b : a->created_at > b->created_at;
+    });
+}
+
+void preemption::stop(catalog::attempt &which, seconds grace) {
+    ++preempted_tasks_;
+    state_.request_stop(which, grace);
+}
+
+} // namespace spindlecroft::planning
--- /dev/null
+++ b/src/planning/queue_starter.hpp
@@ -0,0 +1,31 @@
+// Turns the tasks in a machine's queue into attempts as soon as they fit.
+#pragma once
+#include "model/cluster_state.hpp"
+#include "planning/preemption.hpp"
+#include <functional>
+
+namespace spindlecroft::planning {
+
+// Called for each new attempt: no placement record covers it yet.
+using attempt_created = std::function<void(const catalog::task_ref &task, job_shape shape)>;
+
+class queue_starter {
+  public:
+    queue_starter(model::cluster_state &state, preemption &preempting, attempt_created on_created)
+        : state_(state), preemption_(preempting), on_created_(std::move(on_created)) {}
+
+    // Looks at the queues on whose machines something changed. At full size most queues wait for
+    // the same task to end as in the round before.
+    void start_all(time_point now);
+
+  private:
+    void start_queued(workers::machine &machine, time_point now);
+    [[nodiscard]] machine_load load_of(workers::machine &machine);
+    void start_front(workers::machine &machine, catalog::job &job, time_point now);
+
+    model::cluster_state &state_;
+    preemption &preemption_;
+    attempt_created on_created_;
+};
+
+} // namespace spindlecroft::planning
--- /dev/null
+++ b/src/planning/round_planner.cpp
@@ -0,0 +1,162 @@
+// The steps of a round.
+#include "planning/round_planner.hpp"
+#include "constants.hpp"
+#include <algorithm>
+#include <array>
+
+namespace spindlecroft::planning {
+
+namespace {
+
+namespace c = constants;
+
+constexpr std::array by_priority{priority_class::critical, priority_class::high,
+                                 priority_class::normal, priority_class::low};
+
+// A team's claim to the next turn: first whoever is within its guarantee, then who uses least of
+// its share.
+struct claim {
+    bool beyond_guarantee = false;
+    double share_used = 0;
+    auto operator<=>(const claim &) const = default;
+};
+
+} // namespace
+
+round_planner::round_planner(const settings::settings &settings, model::cluster_state &state,
+                             attempt_created on_created)
+    : settings_(settings), state_(state), quota_(settings, state), bidders_(settings, state),
+      preemption_(state, quota_, bidders_), starter_(state, preemption_, std::move(on_created)) {}
+
+// A machine has nothing in its queue while tasks wait in queues elsewhere: all of those are bid
+// again. Bidding again only as many as the idle machines hold left replicas in the queues of
+// machines that boot late, and queues out of their team's order.
+void round_planner::rebid_queued(time_point now) {
+    if (!elapsed(last_rebid_, c::idle_rebid, now) || !idle_while_tasks_wait())
+        return;
+    last_rebid_ = now;
+    for (auto &[name, machine] : state_.machines())
+        if (!machine.queue.empty())
+            state_.clear_queue(machine);
+}
+
+bool round_planner::idle_while_tasks_wait() const {
+    bool waiting = false, idle = false;
+    for (const auto &[name, machine] : state_.machines()) {
+        if (!machine.queue.empty())
+            waiting = true;
+        else if (machine.up && machine.usable() && !machine.silent)
+            idle = true;
+    }
+    return waiting && idle;
+}
+
+void round_planner::plan(time_point now) {
+    quota_.begin_round();
+    preemption_.begin_round();
+    bid_round round(state_, bidders_.current(now));
+    int turns_taken = 0;
+    for (auto priority : by_priority)
+        serve(priority, round, turns_taken, now);
+    starter_.start_all(now);
+}
+
+void round_planner::serve(priority_class priority, bid_round &round, int &turns_taken,
+                          time_point now) {
+    auto teams = waiting_turns(priority, round, now);
+    while (!teams.empty()) {
+        if (++turns_taken > c::bids_per_round) {
+            state_.request_planning();
+            return;
+        }
+        auto team = next_team(teams);
+        auto &turns = team->second;
+        auto &turn = turns.back();
+        auto &job = *turn.job;
+        bool placed = quota_.teams().within_limit(job.spec) && may_place(state_, job, now) &&
+                      place_one(job, round, now);
+        if (!placed || job.waiting() == 0 || --turn.most == 0)
+            turns.pop_back();
+        if (turns.empty())
+            teams.erase(team);
+    }
+}
+
+round_planner::turns_by_team round_planner::waiting_turns(priority_class priority,
+                                                          const bid_round &round, time_point now) {
+    turns_by_team teams;
+    for (auto &[id, job] : state_.jobs())
+        if (job.spec.priority == priority && may_place(state_, job, now))
+            teams[job.spec.team].push_back({&job, fairness::all_tasks});
+    for (auto &[name, turns] : teams) {
+        if (turns.size() < 2)
+            continue;
+        double slots =
+            slots_for(turns.front().job->spec, round.bidders(), quota_.teams().find(name));
+        order_turns(turns, settings_, state_, slots, now);
+    }
+    return teams;
+}
+
+round_planner::turns_by_team::iterator round_planner::next_team(turns_by_team &teams) const {
+    auto first = teams.end();
+    claim best;
+    for (auto team = teams.begin(); team != teams.end(); ++team) {
+        const auto &spec = team->second.back().job->spec;
+        claim own{!quota_.teams().within_guarantee(spec), quota_.teams().share_used(team->first)};
+        if (first == teams.end() || own < best) {
+            first = team;
+            best = own;
+        }
+    }
+    return first;
+}
+
+// The task goes into the winner's queue, and the next bid in the same round sees it there.
+bool round_planner::place_one(catalog::job &job, bid_round &round, time_point now) {
+    if (job.waiting() == 0)
+        return false;
+    auto where = choose_machine(job, round, now);
+    if (!where)
+        return false;
+    std::uint32_t index = 0;
+    if (!job.pop_waiting(index))
+        return false;
+    auto &winner = *where->machine;
+    seconds estimate = state_.expected_run_time(job) / std::max(winner.m->speed, c::speed_floor);
+    join_queue(*where, job, index, estimate);
+    round.task_queued(winner, job, estimate);
+    quota_.task_queued(job.spec);
+    return true;
+}
+
+std::optional<round_planner::placement>
+round_planner::choose_machine(const catalog::job &job, bid_round &round, time_point now) {
+    auto best = round.best_bid(job, now);
+    bool waits_too_long = !best || best->queue_time > c::guarantee_wait;
+    // A team's guaranteed work finds no free machine soon: others make way.
+    if (waits_too_long && job.guaranteed && quota_.teams().within_guarantee(job.spec))
+        if (auto *machine = preemption_.preempt_for_guarantee(job, round.bidders(), now))
+            return placement{machine, true};
+    if (!best)
+        return {};
+    return placement{best->by, false};
+}
+
+void round_planner::join_queue(const placement &where, catalog::job &job, std::uint32_t index,
+                               seconds estimate) {
+    const auto &spec = job.spec;
+    auto &machine = *where.machine->m;
+    // First in, first out among equals; higher priority goes before, and so does work for which
+    // others were stopped.
+    auto position =
+        std::find_if(machine.queue.begin(), machine.queue.end(), [&](const auto &queued) {
+            return where.before_equals ? queued.priority >= spec.priority
+                                       : queued.priority > spec.priority;
+        });
+    machine.queue.insert(position, workers::queued_task{{spec.id, index}, spec.priority, estimate});
+    machine.startable = true;
+    job.queued[index] = machine.name;
+}
+
+} // namespace spindlecroft::planning
--- /dev/null
+++ b/src/planning/service_order.cpp
@@ -0,0 +1,108 @@
+// Due times and remaining work of waiting jobs, and the order that follows from them.
+#include "planning/service_order.hpp"
+#include "constants.hpp"
+#include <algorithm>
+
+namespace spindlecroft::planning {
+
+namespace {
+
+namespace c = constants;
+
+constexpr double no_slot_limit = 1e9;
+constexpr double running_task_left = 0.5; // of a running task's time, on average
+
+// Collects the times until a job should be complete.
+class due_times {
+  public:
+    due_times(const catalog::job &job, time_point now)
+        : waited_(now - job.ready_at), late_ready_(job.ready_at - job.accepted_at) {}
+
+    // Counted from when the job was ready.
+    void add_since_ready(seconds within) {
+        if (within > seconds{})
+            due_in_.push_back(within - waited_);
+    }
+    // Counted from the submission, as deadlines are.
+    void add_deadline(seconds within) {
+        if (within > seconds{})
+            due_in_.push_back(within - late_ready_ - waited_);
+    }
+    void add_left(seconds left) { due_in_.push_back(left); }
+    [[nodiscard]] bool empty() const { return due_in_.empty(); }
+    [[nodiscard]] std::vector<seconds> sorted() && {
+        std::sort(due_in_.begin(), due_in_.end());
+        return std::move(due_in_);
+    }
+
+  private:
+    seconds waited_, late_ready_;
+    std::vector<seconds> due_in_;
+};
+
+std::vector<seconds> due_times_of(const settings::settings &settings, const catalog::job &job,
+                                  seconds expected, time_point now) {
+    due_times due(job, now);
+    auto deadline = job.spec.deadline.value_or(seconds{});
+    due.add_deadline(deadline);
+    if (job.inherited_first_due) {
+        due.add_left(*job.inherited_first_due - now);
+        due.add_left(*job.inherited_last_due - now);
+    }
+    // What is aimed at for its class: a job late for the first aim can be in time for the next.
+    for (const auto &objective : settings.objectives) {
+        if (objective.job_class != job.spec.job_class)
+            continue;
+        due.add_deadline(deadline * objective.times);
+        if (objective.within > seconds{})
+            due.add_since_ready(objective.kind == "wait" ? objective.within + expected
+                                                         : objective.within);
+    }
+    if (due.empty())
+        due.add_since_ready(c::default_due);
+    return std::move(due).sorted();
+}
+
+} // namespace
+
+fairness::waiting_job waiting_job_of(const settings::settings &settings,
+                                     const model::cluster_state &state, const catalog::job &job,
+                                     time_point now) {
+    seconds expected = state.expected_run_time(job);
+    fairness::waiting_job waiting;
+    waiting.due_in = due_times_of(settings, job, expected, now);
+    waiting.waited = now - job.ready_at;
+    waiting.begun = job.done_seen > 0 || !job.live.empty();
+    waiting.longest = expected;
+    // Those done, but not yet durably, hold nothing.
+    waiting.held =
+        static_cast<double>(job.live.size()) - static_cast<double>(job.done_seen - job.done_count);
+    waiting.work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
+                               running_task_left * waiting.held);
+    return waiting;
+}
+
+double slots_for(const job_spec &spec, const std::vector<bidder *> &bidders,
+                 const settings::team *team) {
+    double limit = no_slot_limit;
+    if (team && team->cpus_max > 0 && spec.cpus > 0)
+        limit = team->cpus_max / spec.cpus;
+    double slots = 0;
+    for (const auto *machine : bidders)
+        slots += machine->whole.slots(spec);
+    return std::min(slots, limit);
+}
+
+void order_turns(std::vector<service_turn> &turns, const settings::settings &settings,
+                 const model::cluster_state &state, double slots, time_point now) {
+    std::vector<fairness::waiting_job> waiting;
+    waiting.reserve(turns.size());
+    for (const auto &turn : turns)
+        waiting.push_back(waiting_job_of(settings, state, *turn.job, now));
+    std::vector<service_turn> sorted;
+    for (const auto &next : fairness::serving_order(waiting, slots))
+        sorted.push_back({turns[next.job].job, next.most});
+    turns.assign(sorted.rbegin(), sorted.rend());
+}
+
+} // namespace spindlecroft::planning
