--- /dev/null
+++ b/tests/planning_parts_test.cpp
@@ -0,0 +1,309 @@
+// The parts of planning, each alone on a small cluster.
+#include "constants.hpp"
+#include "planning/bid_round.hpp"
+#include "planning/bidder_table.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/preemption.hpp"
+#include "planning/queue_starter.hpp"
+#include "planning/quota_accounting.hpp"
+#include "planning/service_order.hpp"
+#include "trace_runner.hpp"
+#include <gtest/gtest.h>
+
+using namespace spindlecroft;
+using namespace std::chrono_literals;
+using test::at;
+
+namespace {
+
+constexpr auto now = at(100);
+
+settings::settings three_teams() {
+    auto settings = test::small_settings();
+    settings.teams = {{"red", 8, 0, 0, 0}, {"blue", 0, 0, 0, 0}, {"green", 8, 0, 0, 0}};
+    return settings;
+}
+
+// Machines that are up, jobs, and tasks that run.
+struct cluster {
+    settings::settings settings = three_teams();
+    model::cluster_state state{settings, test::small_types()};
+    planning::quota_accounting quota{settings, state};
+    planning::bidder_table bidders{settings, state};
+    planning::preemption preemption{state, quota, bidders};
+
+    workers::machine &add_machine(const std::string &name, const std::string &zone = "a",
+                                  const std::string &type = "large") {
+        auto &machine = state.ensure_machine(name, at(0));
+        state.describe_machine(machine, type, zone, false, "10.0.0.1:9000");
+        machine.up = true;
+        return machine;
+    }
+    catalog::job &add_job(job_spec spec) {
+        catalog::job job;
+        job.done.assign(spec.tasks, false);
+        job.own_priority = spec.priority;
+        job.spec = std::move(spec);
+        auto id = job.spec.id;
+        return state.add_job(id, std::move(job));
+    }
+    catalog::job &add_job(const std::string &id, const std::string &team, std::uint32_t tasks) {
+        auto spec = test::small_job(id);
+        spec.team = team;
+        spec.tasks = tasks;
+        return add_job(spec);
+    }
+    catalog::attempt &run_next_task(catalog::job &job, const std::string &machine,
+                                    time_point created_at = at(10)) {
+        catalog::attempt attempt;
+        EXPECT_TRUE(job.pop_waiting(attempt.task.index));
+        attempt.task.job = job.spec.id;
+        attempt.machine = machine;
+        attempt.phase = catalog::attempt_phase::running;
+        attempt.created_at = created_at;
+        attempt.estimate = job.spec.estimate;
+        return state.add_attempt(job, attempt);
+    }
+    planning::bid_round begin_round() {
+        quota.begin_round();
+        preemption.begin_round();
+        return {state, bidders.current(now)};
+    }
+};
+
+struct placement_rules : testing::Test {
+    cluster all;
+    // The zones of the classes that are allowed, in the order of the classes.
+    std::vector<std::string> zones_for(const catalog::job &job) const {
+        auto allowed = planning::allowed_classes_for(all.state, job);
+        std::vector<std::string> zones;
+        for (std::size_t i = 0; i < allowed.size(); ++i)
+            if (allowed[i])
+                zones.push_back(all.state.machine_classes()[i].zone);
+        return zones;
+    }
+    void SetUp() override {
+        all.add_machine("i-1", "a");
+        all.add_machine("i-2", "b");
+    }
+};
+using zones = std::vector<std::string>;
+
+struct bid_rounds : testing::Test {
+    cluster all;
+};
+struct guarantees : testing::Test {
+    cluster all;
+};
+struct service_order : testing::Test {
+    cluster all;
+};
+struct queues : testing::Test {
+    cluster all;
+    std::vector<catalog::task_ref> created;
+    planning::queue_starter starter{
+        all.state, all.preemption,
+        [this](const catalog::task_ref &task, job_shape) { created.push_back(task); }};
+};
+
+} // namespace
+
+TEST_F(placement_rules, a_job_without_rules_may_be_anywhere) {
+    EXPECT_EQ(zones_for(all.add_job("job-1", "blue", 2)), (zones{"a", "b"}));
+}
+
+TEST_F(placement_rules, a_job_may_name_its_zone_and_its_types) {
+    auto spec = test::small_job("job-1");
+    spec.zone = "b";
+    EXPECT_EQ(zones_for(all.add_job(spec)), zones{"b"});
+    spec.types = {"small"};
+    EXPECT_EQ(zones_for(all.add_job(spec)), zones{});
+}
+
+TEST_F(placement_rules, tasks_of_one_zone_follow_the_first) {
+    auto spec = test::small_job("job-1");
+    spec.tasks = 3;
+    spec.same_zone = true;
+    auto &job = all.add_job(spec);
+    EXPECT_EQ(zones_for(job), (zones{"a", "b"}));
+    all.run_next_task(job, "i-2");
+    EXPECT_EQ(zones_for(job), zones{"b"});
+}
+
+TEST_F(placement_rules, half_of_a_spread_job_may_be_in_one_zone) {
+    auto spec = test::small_job("job-1");
+    spec.tasks = 2;
+    spec.spread = true;
+    auto &job = all.add_job(spec);
+    job.queued[1] = "i-1";
+    EXPECT_EQ(zones_for(job), zones{"b"});
+}
+
+TEST_F(placement_rules, a_task_in_an_unknown_zone_counts_against_every_zone) {
+    auto spec = test::small_job("job-1");
+    spec.tasks = 2;
+    spec.spread = true;
+    auto &job = all.add_job(spec);
+    job.queued[1] = "i-gone";
+    EXPECT_EQ(zones_for(job), zones{});
+}
+
+TEST_F(bid_rounds, of_equal_bids_the_first_wins) {
+    all.add_machine("i-2");
+    all.add_machine("i-1");
+    auto round = all.begin_round();
+    auto best = round.best_bid(all.add_job("job-1", "blue", 2), now);
+    ASSERT_TRUE(best);
+    EXPECT_EQ(best->by->m->name, "i-1");
+}
+
+TEST_F(bid_rounds, the_lowest_bid_wins) {
+    all.add_machine("i-1");
+    all.add_machine("i-2").use_image("img", 1, at(50));
+    auto round = all.begin_round();
+    auto best = round.best_bid(all.add_job("job-1", "blue", 1), now);
+    ASSERT_TRUE(best);
+    EXPECT_EQ(best->by->m->name, "i-2") << "it need not fetch the image";
+    EXPECT_EQ(best->finish_time, 30s);
+}
+
+TEST_F(bid_rounds, a_task_in_its_queue_raises_the_next_bid_of_the_winner) {
+    all.add_machine("i-1", "a", "small");
+    all.add_machine("i-2", "a", "small");
+    auto &job = all.add_job("job-1", "blue", 2);
+    auto round = all.begin_round();
+    auto first = round.best_bid(job, now);
+    ASSERT_TRUE(first);
+    EXPECT_EQ(first->by->m->name, "i-1");
+    round.task_queued(*first->by, job, 30s);
+    auto second = round.best_bid(job, now);
+    ASSERT_TRUE(second);
+    EXPECT_EQ(second->by->m->name, "i-2");
+}
+
+TEST_F(bid_rounds, figures_of_removed_machines_are_forgotten) {
+    all.add_machine("i-1");
+    all.add_machine("i-2");
+    EXPECT_EQ(all.bidders.current(now).size(), 2u);
+    all.state.remove_machine("i-1", now);
+    EXPECT_EQ(all.bidders.current(now).size(), 1u);
+    EXPECT_EQ(all.bidders.find("i-1"), nullptr);
+    EXPECT_NE(all.bidders.find("i-2"), nullptr);
+}
+
+TEST_F(bid_rounds, a_machine_without_new_work_keeps_its_figures) {
+    auto &machine = all.add_machine("i-1");
+    EXPECT_EQ(all.bidders.current(now).size(), 1u);
+    machine.silent = true;
+    EXPECT_TRUE(all.bidders.current(now).empty());
+    EXPECT_NE(all.bidders.find("i-1"), nullptr);
+}
+
+TEST_F(guarantees, the_latest_work_beyond_another_guarantee_is_stopped) {
+    all.add_machine("i-1");
+    all.add_machine("i-2");
+    auto &within = all.add_job("green-1", "green", 2);
+    auto &beyond = all.add_job("blue-1", "blue", 2);
+    auto &green = all.run_next_task(within, "i-1", at(30));
+    auto &earlier = all.run_next_task(beyond, "i-1", at(10));
+    auto &later = all.run_next_task(beyond, "i-2", at(20));
+    auto &job = all.add_job("red-1", "red", 1);
+    auto round = all.begin_round();
+    EXPECT_TRUE(job.guaranteed);
+    auto *machine = all.preemption.preempt_for_guarantee(job, round.bidders(), now);
+    ASSERT_NE(machine, nullptr);
+    EXPECT_EQ(machine->m->name, "i-2");
+    EXPECT_TRUE(later.stop_wanted);
+    EXPECT_FALSE(earlier.stop_wanted);
+    EXPECT_FALSE(green.stop_wanted);
+    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+}
+
+TEST_F(guarantees, work_within_another_guarantee_goes_on) {
+    all.add_machine("i-1");
+    auto &within = all.add_job("green-1", "green", 2);
+    all.run_next_task(within, "i-1");
+    all.run_next_task(within, "i-1");
+    auto &job = all.add_job("red-1", "red", 1);
+    auto round = all.begin_round();
+    EXPECT_EQ(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(all.preemption.preempted_tasks(), 0u);
+}
+
+// What is being stopped already is not counted again: else a team would lose more than it has
+// beyond its guarantee.
+TEST_F(guarantees, no_more_is_stopped_than_is_beyond_the_guarantee) {
+    all.add_machine("i-1");
+    auto &beyond = all.add_job("green-1", "green", 3);
+    for (int i = 0; i < 3; ++i)
+        all.run_next_task(beyond, "i-1");
+    auto &job = all.add_job("red-1", "red", 2);
+    auto round = all.begin_round();
+    EXPECT_NE(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+}
+
+TEST_F(guarantees, a_job_larger_than_the_guarantee_is_not_covered) {
+    auto &fits = all.add_job("red-1", "red", 2);
+    auto &exceeds = all.add_job("red-2", "red", 1);
+    exceeds.ready_at = at(1);
+    all.quota.begin_round();
+    EXPECT_TRUE(fits.guaranteed);
+    EXPECT_FALSE(exceeds.guaranteed);
+}
+
+TEST_F(queues, tasks_start_while_they_fit) {
+    auto &machine = all.add_machine("i-1", "a", "small");
+    auto &job = all.add_job("job-1", "blue", 2);
+    for (std::uint32_t i = 0; i < 2; ++i) {
+        std::uint32_t index = 0;
+        ASSERT_TRUE(job.pop_waiting(index));
+        machine.queue.push_back({{"job-1", index}, priority_class::normal, 30s});
+        job.queued[index] = "i-1";
+    }
+    starter.start_all(now);
+    EXPECT_EQ(created, (std::vector<catalog::task_ref>{{"job-1", 0}}));
+    EXPECT_EQ(job.live.size(), 1u);
+    EXPECT_EQ(machine.queue.size(), 1u);
+}
+
+TEST_F(queues, critical_work_starts_behind_the_stop_of_the_latest_task) {
+    auto &machine = all.add_machine("i-1", "a", "large");
+    auto &lower = all.add_job("blue-1", "blue", 4);
+    for (int i = 0; i < 4; ++i)
+        all.run_next_task(lower, "i-1", at(10 + i));
+    auto spec = test::small_job("urgent");
+    spec.priority = priority_class::critical;
+    auto &urgent = all.add_job(spec);
+    std::uint32_t index = 0;
+    ASSERT_TRUE(urgent.pop_waiting(index));
+    machine.queue.push_back({{"urgent", index}, priority_class::critical, 30s});
+    urgent.queued[index] = "i-1";
+    starter.start_all(now);
+    EXPECT_EQ(created, (std::vector<catalog::task_ref>{{"urgent", 0}}));
+    EXPECT_FALSE(lower.live.at(2).stop_wanted);
+    EXPECT_TRUE(lower.live.at(3).stop_wanted);
+    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+}
+
+TEST_F(queues, work_that_saves_is_given_the_time_to) {
+    auto spec = test::small_job("job-1");
+    spec.checkpoint_duration = 5s;
+    EXPECT_EQ(planning::stop_grace(spec), 0s) << "it never saves";
+    spec.checkpoint_interval = 60s;
+    EXPECT_EQ(planning::stop_grace(spec), 5s);
+}
+
+TEST_F(service_order, due_times_count_from_the_submission_or_from_when_the_job_was_ready) {
+    auto spec = test::small_job("job-1");
+    spec.deadline = 200s;
+    all.settings.objectives = {{"wait", "batch", 0.9, 0, 10s}};
+    auto &job = all.add_job(spec);
+    job.accepted_at = at(50);
+    job.ready_at = at(80);
+    auto waiting = planning::waiting_job_of(all.settings, all.state, job, now);
+    EXPECT_EQ(waiting.due_in, (std::vector<seconds>{20s, 150s}));
+    EXPECT_EQ(waiting.waited, 20s);
+    EXPECT_EQ(waiting.work, 30s);
+}
