--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -13,6 +13,9 @@
 #include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
+#include "planning/round_planner.hpp"
 #include "records/done_records.hpp"
 #include "records/durable_write.hpp"
 #include "records/job_ends.hpp"
@@ -36,9 +39,7 @@
 
 namespace spindlecroft::control {
 
-using planning::bid_round;
 using planning::bidder;
-using planning::round_bid;
 using records::durable_write;
 using records::write_kind;
 
@@ -157,12 +158,6 @@
     // Draws the conclusions about machines and jobs on which attempts failed.
     void review_failures();
     void quarantine_faulty();
-    // A suspect job is retried one task at a time.
-    bool may_place(const job_t &j, time_point now) const;
-    // Work that saves may do so before it makes room; other work would only lose the time.
-    static seconds grace_of(const job_spec &s) {
-        return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
-    }
     void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
                                    time_point now);
     void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
@@ -172,28 +167,10 @@
     void check_cancelled(time_point now);
     void check_machines(time_point now);
     void plan_bids(time_point now);
-    void start_queued(machine_t &m, time_point now);
-    bool bid_once(job_t &j, bid_round &round, time_point now);
-    // What the machine bids for one task of the job; nothing: no room, or not in time.
-    std::optional<round_bid> bid_of(const job_t &j, bidder &b, const std::vector<char> &places,
-                                    seconds expected, bool some_failed, time_point now) const;
-    std::optional<round_bid> best_bid(const job_t &j, bid_round &round, time_point now);
-    // The places (type, zone, kind) where one more task of the job may be now.
-    std::vector<char> places_for(const job_t &j) const;
-    bidder *preempt_for_guarantee(const job_t &j, bid_round &round, time_point now);
     // The machines that may get work now, with what they hold brought up to date.
     std::vector<bidder *> make_bidders(time_point now);
-    void refresh_bidder(bidder &b, time_point now);
-    void rebid(time_point now);
     void plan_fleet(time_point now);
-    void count_usage();
-    void mark_guaranteed();
-    fairness::waiting_job waiting_job_of(const job_t &j, time_point now) const;
     void inherit_along_chains() { inheritance_.update(dependencies_.graph()); }
-    // The task has an attempt whose placement is to be recorded.
-    void add_unplaced(const catalog::task_ref &task, job_shape shape) {
-        placements_.add(task, shape);
-    }
     void note_done(job_t &done_in, std::uint32_t index, time_point now) {
         done_records_.note_done(done_in, index, now);
     }
@@ -203,27 +180,23 @@
 
     settings::settings settings_;
     model::cluster_state state_;
-    fairness::team_queues teams_;
     dependencies::dependency_tracker dependencies_{settings_, state_};
-    dependencies::chain_inheritance inheritance_{settings_, state_, teams_};
-    std::map<std::string, bidder> bidders_; // of machines, as last worked out
     records::job_loader job_loader_{state_, dependencies_};
     records::placement_records placements_{settings_, state_};
     records::done_records done_records_{settings_, state_};
     records::job_ends job_ends_{state_};
     records::suspect_record suspect_record_{settings_, state_};
     records::record_cleanup cleanup_;
+    planning::round_planner planner_;
+    dependencies::chain_inheritance inheritance_{settings_, state_, planner_.quota().teams()};
     fleet::fleet_manager fleet_{settings_, state_, most_record_bytes()};
 
     bool ready_ = false;
     std::optional<time_point> hold_until_; // s; no task is placed before
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_fleet_;
-    std::optional<time_point> last_rebid_;
     std::optional<time_point> last_raise_;
-    std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
-    std::optional<time_point> last_check_;   // s
-    std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
+    std::optional<time_point> last_check_;
     bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
 };
 
