--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -10,6 +10,11 @@
 #include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "reconciliation/command_composer.hpp"
+#include "reconciliation/failure_review.hpp"
+#include "reconciliation/heartbeat_age.hpp"
+#include "reconciliation/heartbeat_reconciler.hpp"
+#include "reconciliation/lease_monitor.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "workers/failure_ledger.hpp"
@@ -105,11 +110,7 @@
     std::set<std::string> unresolved_predecessors() const;
     void on_token(std::uint64_t token);
     // A heartbeat, from /checkin or in the answer to a direct command.
-    enum class heartbeat_age {
-        fresh,
-        stale, // of the current incarnation, but a newer message came before it
-        dead,  // of an earlier incarnation, or of a machine that is gone
-    };
+    using heartbeat_age = reconciliation::heartbeat_age;
     // reply: it came in the answer to a direct command, not as a heartbeat of its own.
     heartbeat_age on_heartbeat(const heartbeat &r, time_point now, bool reply = false);
     // Orders to give in the answer to the newest heartbeat.
@@ -174,18 +175,6 @@
     using machine_t = workers::machine;
     using attempt_t = catalog::attempt;
 
-    void reconcile_listed_task(machine_t &m, const task_status &t, time_point now);
-    void reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
-                               time_point now);
-    void reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
-                                time_point now);
-    void task_done(job_t &j, std::uint32_t index, time_point now);
-    void task_failed(machine_t &m, job_t &j, const attempt_t &a, time_point now);
-    // An attempt that runs for long enough, or is done, shows that the job works.
-    bool job_runs(const job_t &j) const;
-    // Draws the conclusions about machines and jobs on which attempts failed.
-    void review_failures();
-    void quarantine_faulty();
     // A suspect job is retried one task at a time.
     bool may_place(const job_t &j, time_point now) const;
     void write_suspects(std::vector<durable_write> &out, time_point now);
@@ -194,13 +183,6 @@
     static seconds grace_of(const job_spec &s) {
         return s.checkpoint_interval > seconds{} ? s.checkpoint_duration : seconds{};
     }
-    void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
-                                   time_point now);
-    void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
-    std::vector<command> commands(machine_t &m, bool in_answer, time_point now, bool may_start);
-
-    void check_leases(time_point now);
-    void check_cancelled(time_point now);
     void check_machines(time_point now);
     void plan_bids(time_point now);
     void start_queued(machine_t &m, time_point now);
@@ -301,13 +283,18 @@
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_fleet_;
     std::optional<time_point> last_rebid_;
-    std::optional<time_point> last_raise_;
     std::map<std::string, time_point> zone_doubt_until_;
     std::set<std::string> spare_;            // machines kept as warm room
     std::map<std::string, double> stopping_; // cpus of each team about to be free, this round
     std::optional<time_point> last_check_;   // s
     std::uint64_t preempted_tasks_ = 0;      // tasks stopped for others
-    bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
+
+    reconciliation::failure_review failure_review_{state_};
+    reconciliation::heartbeat_reconciler heartbeats_{
+        state_, settings_, failure_review_,
+        [this](job_t &j, std::uint32_t index, time_point now) { note_done(j, index, now); }};
+    reconciliation::command_composer commands_{state_};
+    reconciliation::lease_monitor leases_{state_, settings_};
 };
 
 } // namespace spindlecroft::control
--- a/src/control/scheduler_plan.cpp
+++ b/src/control/scheduler_plan.cpp
@@ -563,38 +563,6 @@
 
 // --- time passes ---
 
-void scheduler::check_leases(time_point now) {
-    for (auto &[name, m] : state_.machines()) {
-        if (now <= m.lease_bound || m.attempts.empty())
-            continue;
-        // Unanswered for longer than its lease: the worker has killed and forgotten its tasks,
-        // and refuses commands of that incarnation.
-        auto refs = m.attempts;
-        for (auto &ref : refs)
-            if (auto *j = state_.find_job(ref.job))
-                if (auto i = j->live.find(ref.index);
-                    i != j->live.end() && i->second.possibly_running())
-                    state_.release_attempt(*j, ref.index, true);
-    }
-}
-
-void scheduler::check_cancelled(time_point now) {
-    for (auto &[id, j] : state_.jobs()) {
-        if (!j.cancelled || j.live.empty())
-            continue;
-        for (auto &[i, a] : j.live) {
-            auto m = state_.machines().find(a.machine);
-            if (m == state_.machines().end() || m->second.deleting)
-                continue;
-            if (now - j.cancelled_at > c::cancel_delete_share * settings_.cancel_deadline)
-                state_.request_deletion(m->second, "a cancelled task may still be there");
-            else if (!m->second.heard_at ||
-                     now - *m->second.heard_at > settings_.heartbeat_interval / 2)
-                state_.mark_urgent(a.machine);
-        }
-    }
-}
-
 void scheduler::check_machines(time_point now) {
     struct tally {
         double up = 0, quiet = 0;
@@ -668,9 +636,9 @@
         return;
     if (elapsed(last_check_, c::check_gap, now)) {
         last_check_ = now;
-        check_leases(now);
-        check_cancelled(now);
-        review_failures();
+        leases_.release_expired(now);
+        leases_.enforce_cancellations(now);
+        failure_review_.review();
         check_machines(now);
     }
     if ((state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now)) ||
--- a/src/model/cluster_state.cpp
+++ b/src/model/cluster_state.cpp
@@ -1,5 +1,6 @@
 #include "model/cluster_state.hpp"
 #include "constants.hpp"
+#include "workers/proven_gone.hpp"
 #include <algorithm>
 #include <spdlog/spdlog.h>
 
@@ -174,14 +175,13 @@
 
 void cluster_state::release_attempts(machine &on) {
     clear_queue(on);
+    const workers::observation removed{workers::evidence::machine_removed};
     auto tasks = on.attempts;
     for (const auto &task : tasks) {
         auto *found = find_attempt(task);
         if (!found)
             continue;
-        // That a task is done is a fact, which is being recorded.
-        bool result = found->phase == attempt_phase::exited && found->cause == exit_cause::done;
-        if (!result)
+        if (judge(*found, on, removed) == workers::verdict::gone)
             release_attempt(*find_job(task.job), task.index, true);
     }
 }
--- /dev/null
+++ b/src/reconciliation/command_composer.cpp
@@ -0,0 +1,191 @@
+// Commands in answers and direct commands.
+#include "reconciliation/command_composer.hpp"
+#include "constants.hpp"
+#include <algorithm>
+#include <utility>
+
+namespace spindlecroft::reconciliation {
+
+using catalog::attempt_phase;
+
+namespace {
+
+command command_for(const catalog::attempt &attempt, command_kind kind, seconds grace) {
+    return {kind, attempt.task.job, attempt.task.index, attempt.number, grace};
+}
+
+} // namespace
+
+struct command_composer::composition {
+    workers::machine &machine;
+    channel through;
+    start_permission permission;
+    bidding::room room;
+    std::vector<command> commands;
+    std::vector<command> starts; // after all others
+};
+
+std::vector<command> command_composer::for_answer(const std::string &machine_name,
+                                                  start_permission permission, time_point now) {
+    auto *machine = state_.find_machine(machine_name);
+    if (!machine)
+        return {};
+    return compose(*machine, channel::answer, permission, now);
+}
+
+std::vector<command> command_composer::for_direct_command(const std::string &machine_name,
+                                                          start_permission permission,
+                                                          time_point now) {
+    auto *machine = state_.find_machine(machine_name);
+    if (!machine || !machine->up || machine->commands_open > 0)
+        return {};
+    auto commands = compose(*machine, channel::direct, permission, now);
+    bool starts = false;
+    for (const auto &composed : commands) {
+        if (composed.kind != command_kind::start)
+            continue;
+        starts = true;
+        auto *attempt = state_.find_attempt({composed.job, composed.index}, composed.attempt);
+        if (attempt && attempt->sent_incarnation == 0) {
+            // Nothing about it is known until the command is resolved.
+            attempt->sent_incarnation = machine->incarnation;
+            attempt->sent_sequence = machine->sequence;
+        }
+    }
+    if (starts)
+        ++machine->commands_open;
+    return commands;
+}
+
+bool command_composer::starts_wanted(const std::vector<command> &commands) const {
+    return std::all_of(commands.begin(), commands.end(), [&](const command &given) {
+        if (given.kind != command_kind::start)
+            return true;
+        const auto *job = state_.find_job(given.job);
+        if (!job || job->over())
+            return false;
+        const auto *attempt = state_.find_attempt({given.job, given.index}, given.attempt);
+        return attempt && !attempt->stop_wanted;
+    });
+}
+
+void command_composer::resolved(const std::string &machine_name) {
+    auto *machine = state_.find_machine(machine_name);
+    if (machine && machine->commands_open > 0)
+        --machine->commands_open;
+}
+
+void command_composer::unresolved(const std::string &machine_name, std::uint64_t token,
+                                  std::uint64_t incarnation) {
+    auto *machine = state_.find_machine(machine_name);
+    if (!machine)
+        return;
+    if (machine->commands_open > 0)
+        --machine->commands_open;
+    machine->unresolved_token = std::max(machine->unresolved_token, token);
+    machine->unresolved_incarnation = std::max(machine->unresolved_incarnation, incarnation);
+}
+
+bool command_composer::wants_token_raise(time_point now) {
+    if (!elapsed(last_token_raise_, constants::token_bump, now))
+        return false;
+    const auto &machines = state_.machines();
+    bool wanted = std::any_of(machines.begin(), machines.end(), [&](const auto &entry) {
+        const auto &machine = entry.second;
+        return machine.commands_open == 0 && machine.has_unacknowledged_direct_command() &&
+               machine.unresolved_token >= state_.term().token;
+    });
+    if (wanted)
+        last_token_raise_ = now;
+    return wanted;
+}
+
+std::vector<command> command_composer::compose(workers::machine &machine, channel through,
+                                               start_permission permission, time_point now) {
+    composition composed{machine, through, permission, room_after_stops(machine), {}, {}};
+    add_cleanup(composed, now);
+    state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
+        add_for_attempt(composed, job, attempt);
+    });
+    if (through == channel::answer && !composed.starts.empty()) {
+        machine.answer_incarnation = machine.incarnation;
+        machine.answer_sequence = machine.sequence;
+        machine.answer_until = now + constants::worker_patience * (1 + constants::clock_drift) +
+                               constants::lease_slack;
+    }
+    auto &commands = composed.commands;
+    commands.insert(commands.end(), composed.starts.begin(), composed.starts.end());
+    return std::move(commands);
+}
+
+void command_composer::add_cleanup(composition &composed, time_point now) const {
+    // A start that may still arrive must not follow a removal: it would start the attempt anew.
+    bool may_remove = !composed.machine.has_unacknowledged_command(now);
+    if (composed.through != channel::answer && !may_remove)
+        return;
+    for (const auto &cleanup : composed.machine.cleanup_commands)
+        if (cleanup.kind != command_kind::remove || may_remove)
+            composed.commands.push_back(cleanup);
+}
+
+void command_composer::add_for_attempt(composition &composed, const catalog::job &job,
+                                       catalog::attempt &attempt) const {
+    auto add_stop = [&](seconds grace) {
+        composed.commands.push_back(command_for(attempt, command_kind::stop, grace));
+    };
+    switch (attempt.phase) {
+    case attempt_phase::committing:
+    case attempt_phase::exited:
+        break;
+    case attempt_phase::committed:
+        if (!attempt.stop_wanted)
+            add_start(composed, job, attempt);
+        break;
+    case attempt_phase::sent:
+        if (attempt.stop_wanted)
+            add_stop(seconds{});
+        else
+            add_start(composed, job, attempt);
+        break;
+    case attempt_phase::fetching:
+    case attempt_phase::running:
+        if (attempt.stop_wanted)
+            add_stop(attempt.grace);
+        break;
+    case attempt_phase::checkpointing:
+        if (attempt.stop_wanted && attempt.grace <= seconds{})
+            add_stop(seconds{});
+        break;
+    }
+}
+
+void command_composer::add_start(composition &composed, const catalog::job &job,
+                                 catalog::attempt &attempt) const {
+    const auto &machine = composed.machine;
+    if (attempt.inherited || !machine.usable() || job.over() ||
+        composed.permission == start_permission::withheld)
+        return;
+    if (attempt.phase == attempt_phase::committed) {
+        if (!composed.room.fits(job.spec))
+            return; // placed ahead of the room that is being made for it
+        composed.room.take(job.spec);
+    }
+    attempt.phase = attempt_phase::sent;
+    if (composed.through == channel::answer) {
+        attempt.sent_incarnation = machine.incarnation;
+        attempt.sent_sequence = machine.sequence;
+    }
+    composed.starts.push_back(command_for(attempt, command_kind::start, seconds{}));
+}
+
+bidding::room command_composer::room_after_stops(workers::machine &machine) const {
+    bidding::room room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
+    state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
+        bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
+        if (attempt.possibly_running() && !stops_now)
+            room.take(job.spec);
+    });
+    return room;
+}
+
+} // namespace spindlecroft::reconciliation
--- /dev/null
+++ b/src/reconciliation/failure_review.cpp
@@ -0,0 +1,80 @@
+// Suspect jobs and quarantined machines.
+#include "reconciliation/failure_review.hpp"
+#include <algorithm>
+#include <spdlog/spdlog.h>
+
+namespace spindlecroft::reconciliation {
+
+void failure_review::load_suspects(const std::vector<std::string> &jobs, time_point now) {
+    for (const auto &id : jobs)
+        if (state_.find_job(id))
+            state_.failures().load_suspect(id, now);
+}
+
+void failure_review::attempt_failed(workers::machine &machine, catalog::job &job,
+                                    const catalog::attempt &attempt, time_point now) {
+    workers::failure_ledger::failure failure{job.spec.id, machine.name, attempt.ran_for(now),
+                                             is_working(job)};
+    bool became_suspect = state_.failures().attempt_failed(failure, now);
+    if (became_suspect) {
+        spdlog::info("{}: fails wherever it runs, retried one task at a time", job.spec.id);
+        while (!job.queued.empty()) {
+            auto index = job.queued.begin()->first;
+            state_.remove_from_queue(job, index);
+            job.push_back(index);
+        }
+    }
+    machine.probation_until = state_.failures().probation_until(machine.name);
+    if (machine.probation_until > now)
+        state_.clear_queue(machine);
+    quarantine_faulty();
+}
+
+void failure_review::attempt_completed(const catalog::job &job) {
+    state_.failures().job_ran(job.spec.id);
+    quarantine_faulty();
+}
+
+void failure_review::review() {
+    for (const auto &id : state_.failures().unproven_jobs()) {
+        const auto *job = state_.find_job(id);
+        if (!job || job->over())
+            state_.failures().forget_job(id);
+        else if (is_working(*job))
+            state_.failures().job_ran(id);
+    }
+    quarantine_faulty();
+    for (auto &[name, machine] : state_.machines())
+        machine.probation_until = state_.failures().probation_until(name);
+}
+
+bool failure_review::may_retry(const catalog::job &job, time_point now) const {
+    if (!state_.failures().is_suspect(job.spec.id))
+        return true;
+    return now >= state_.failures().retry_at(job.spec.id) && job.queued.empty() && job.live.empty();
+}
+
+bool failure_review::is_working(const catalog::job &job) const {
+    if (job.done_seen > 0)
+        return true;
+    seconds proof = state_.failures().proof_duration(job.spec.id);
+    // Between the first and the last report of it: without heartbeats nobody knows whether it still
+    // runs.
+    return std::any_of(job.live.begin(), job.live.end(), [&](const auto &entry) {
+        const auto &attempt = entry.second;
+        return attempt.running_since && *attempt.running_seen - *attempt.running_since > proof;
+    });
+}
+
+void failure_review::quarantine_faulty() {
+    for (const auto &name : state_.failures().take_faulty()) {
+        auto *machine = state_.find_machine(name);
+        if (!machine || machine->quarantined)
+            continue;
+        spdlog::info("{}: quarantined, tasks fail there", name);
+        machine->quarantined = true;
+        state_.withdraw_unstarted(*machine);
+    }
+}
+
+} // namespace spindlecroft::reconciliation
--- /dev/null
+++ b/src/reconciliation/heartbeat_reconciler.cpp
@@ -0,0 +1,139 @@
+// Heartbeats as a whole.
+#include "reconciliation/heartbeat_reconciler.hpp"
+#include "constants.hpp"
+#include "reconciliation/lease_time.hpp"
+#include <algorithm>
+#include <set>
+#include <vector>
+
+namespace spindlecroft::reconciliation {
+
+heartbeat_age heartbeat_reconciler::reconcile(const heartbeat &received, heartbeat_origin origin,
+                                              time_point now) {
+    if (state_.was_removed(received.machine))
+        return heartbeat_age::dead;
+    auto &machine = state_.ensure_machine(received.machine, now);
+    state_.describe_machine(machine, received.type, received.zone, received.spot, received.address);
+    if (machine.heard_at && !received.newer_than(machine.incarnation, machine.sequence))
+        return received.incarnation == machine.incarnation ? heartbeat_age::stale
+                                                           : heartbeat_age::dead;
+    bool new_incarnation = note_message(machine, received, origin, now);
+    auto starts = reconcile_tasks(machine, received, new_incarnation, now);
+    if (origin == heartbeat_origin::own)
+        partitions_.check(machine, received, new_incarnation, starts, now);
+    reconcile_reclaim(machine, received, now);
+    if (!machine.attempts.empty() || !machine.queue.empty())
+        machine.idle_since = now;
+    return heartbeat_age::fresh;
+}
+
+bool heartbeat_reconciler::holds_nothing(const heartbeat &received) const {
+    if (!received.tasks.empty())
+        return false;
+    const auto *machine = state_.find_machine(received.machine);
+    if (!machine)
+        return true;
+    const auto &tasks = machine->attempts;
+    return std::none_of(tasks.begin(), tasks.end(), [&](const catalog::task_ref &task) {
+        const auto *attempt = state_.find_attempt(task);
+        return attempt && attempt->possibly_running();
+    });
+}
+
+void heartbeat_reconciler::note_answer(const std::string &machine_name, heartbeat_age age,
+                                       time_point now) {
+    auto *machine = state_.find_machine(machine_name);
+    if (!machine)
+        return;
+    machine->lease_bound = std::max(machine->lease_bound, lease_end(settings_, now));
+    partitions_.note_answer(*machine, age, now);
+}
+
+bool heartbeat_reconciler::note_message(workers::machine &machine, const heartbeat &received,
+                                        heartbeat_origin origin, time_point now) {
+    bool first = !machine.up;
+    bool new_incarnation = machine.heard_at && received.incarnation > machine.incarnation;
+    bool own = origin == heartbeat_origin::own;
+    // Guards against running a task twice: the reply to a direct command may overtake an answer
+    // that carries a start, and then does not show a task that the answer will yet begin. Only the
+    // worker's next heartbeat of its own comes after that answer.
+    if (own && received.newer_than(machine.answer_incarnation, machine.answer_sequence))
+        machine.answer_until.reset();
+    machine.incarnation = received.incarnation;
+    machine.sequence = received.sequence;
+    machine.token = received.token;
+    machine.heard_at = now;
+    if (own || !machine.own_heartbeat_at)
+        machine.own_heartbeat_at = now;
+    // Guards against running a task twice: a new incarnation's lease began by itself, before any
+    // answer of ours, and direct commands start tasks in it while heartbeats go unanswered.
+    if (!machine.incarnation_at || new_incarnation)
+        machine.incarnation_at = now;
+    if (first || new_incarnation)
+        machine.lease_bound = std::max(machine.lease_bound, lease_end(settings_, now));
+    if (first) {
+        machine.up = true;
+        machine.up_at = now;
+        machine.idle_since = now;
+        state_.request_planning();
+    }
+    if (new_incarnation)
+        machine.idle_since = now; // cut off until now, not idle
+    return new_incarnation;
+}
+
+start_evidence heartbeat_reconciler::reconcile_tasks(workers::machine &machine,
+                                                     const heartbeat &received,
+                                                     bool new_incarnation, time_point now) {
+    machine.cleanup_commands.clear();
+    if (!received.tasks.empty() || !machine.attempts.empty())
+        machine.touch();
+    std::set<catalog::task_ref> listed;
+    for (const auto &status : received.tasks) {
+        listed.insert({status.job, status.index});
+        tasks_.reconcile_listed(machine, status, now);
+    }
+    std::vector<catalog::task_ref> missing;
+    for (const auto &task : machine.attempts)
+        if (!listed.contains(task))
+            missing.push_back(task);
+    auto seen = new_incarnation ? workers::evidence::new_incarnation
+                                : workers::evidence::missing_from_heartbeat;
+    auto starts = start_evidence::none;
+    for (const auto &task : missing) {
+        auto *attempt = state_.find_attempt(task);
+        if (!attempt) {
+            machine.attempts.erase(task);
+            continue;
+        }
+        auto &job = *state_.find_job(task.job);
+        auto evidence = tasks_.reconcile_missing(machine, job, *attempt, seen, now);
+        if (evidence == start_evidence::ignored)
+            starts = evidence;
+    }
+    return starts;
+}
+
+void heartbeat_reconciler::reconcile_reclaim(workers::machine &machine, const heartbeat &received,
+                                             time_point now) {
+    if (!received.reclaim_notice)
+        machine.reclaim_at.reset();
+    else if (!machine.reclaim_at)
+        begin_reclaim(machine, *received.reclaim_notice, now);
+}
+
+void heartbeat_reconciler::begin_reclaim(workers::machine &machine, seconds notice,
+                                         time_point now) {
+    machine.reclaim_at = now + notice;
+    state_.withdraw_unstarted(machine);
+    // What can't finish or save in time starts again elsewhere at once.
+    state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
+        seconds ran = attempt.ran_for(now);
+        seconds left = std::max(seconds{}, attempt.estimate - ran);
+        if (attempt.possibly_running() && job.spec.shape == job_shape::array &&
+            left > notice * constants::reclaim_notice_tolerance)
+            state_.request_stop(attempt, std::min(notice, job.spec.checkpoint_duration));
+    });
+}
+
+} // namespace spindlecroft::reconciliation
--- /dev/null
+++ b/src/reconciliation/lease_monitor.cpp
@@ -0,0 +1,43 @@
+// Expired leases and cancelled tasks that are still there.
+#include "reconciliation/lease_monitor.hpp"
+#include "constants.hpp"
+#include "workers/proven_gone.hpp"
+
+namespace spindlecroft::reconciliation {
+
+void lease_monitor::release_expired(time_point now) {
+    const workers::observation expired{workers::evidence::lease_expired, state_.term().first_token,
+                                       now};
+    for (auto &[name, machine] : state_.machines()) {
+        if (now <= machine.lease_bound || machine.attempts.empty())
+            continue;
+        auto tasks = machine.attempts; // a copy: releasing changes the set
+        for (const auto &task : tasks) {
+            const auto *attempt = state_.find_attempt(task);
+            if (attempt && judge(*attempt, machine, expired) == workers::verdict::gone)
+                state_.release_attempt(*state_.find_job(task.job), task.index, true);
+        }
+    }
+}
+
+void lease_monitor::enforce_cancellations(time_point now) {
+    for (const auto &[id, job] : state_.jobs()) {
+        if (!job.cancelled || job.live.empty())
+            continue;
+        for (const auto &[index, attempt] : job.live)
+            enforce_cancellation(job, attempt, now);
+    }
+}
+
+void lease_monitor::enforce_cancellation(const catalog::job &job, const catalog::attempt &attempt,
+                                         time_point now) {
+    auto *machine = state_.find_machine(attempt.machine);
+    if (!machine || machine->deleting)
+        return;
+    if (now - job.cancelled_at > constants::cancel_delete_share * settings_.cancel_deadline)
+        state_.request_deletion(*machine, "a cancelled task may still be there");
+    else if (!machine->heard_at || now - *machine->heard_at > settings_.heartbeat_interval / 2)
+        state_.mark_urgent(attempt.machine);
+}
+
+} // namespace spindlecroft::reconciliation
--- /dev/null
+++ b/src/reconciliation/task_reconciler.cpp
@@ -0,0 +1,236 @@
+// Listed, missing, exited and unknown tasks.
+#include "reconciliation/task_reconciler.hpp"
+#include "constants.hpp"
+#include <algorithm>
+#include <spdlog/spdlog.h>
+
+namespace spindlecroft::reconciliation {
+
+using catalog::attempt_phase;
+
+namespace {
+
+// Completed tasks of a job before its own mean tells how fast a machine is.
+constexpr int speed_reference_tasks = 3;
+// Limits of a single measurement of a machine's speed, relative to the mean.
+constexpr double least_speed_sample = 0.1;
+constexpr double most_speed_sample = 3.0;
+
+command cleanup_command(command_kind kind, const task_status &status) {
+    return {kind, status.job, status.index, status.attempt, seconds{}};
+}
+
+attempt_phase phase_of(task_state listed) {
+    switch (listed) {
+    case task_state::running:
+        return attempt_phase::running;
+    case task_state::checkpointing:
+        return attempt_phase::checkpointing;
+    case task_state::fetching:
+    case task_state::exited:
+        break;
+    }
+    return attempt_phase::fetching;
+}
+
+bool is_new_result(const catalog::job *job, const task_status &status) {
+    return status.cause == exit_cause::done && job && !job->over() &&
+           status.index < job->spec.tasks && job->spec.shape == job_shape::array &&
+           !job->done[status.index];
+}
+
+bool awaits_durability(const catalog::job *job, const task_status &status) {
+    return status.cause == exit_cause::done && job && status.index < job->spec.tasks &&
+           !job->over() && job->done[status.index] && !job->done_durable[status.index];
+}
+
+} // namespace
+
+void task_reconciler::reconcile_listed(workers::machine &machine, const task_status &status,
+                                       time_point now) {
+    auto *job = state_.find_job(status.job);
+    auto *attempt = state_.find_attempt({status.job, status.index}, status.attempt);
+    if (!attempt || attempt->machine != machine.name) {
+        reconcile_unknown(machine, job, status, now);
+        return;
+    }
+    if (attempt->phase == attempt_phase::exited)
+        return;
+    attempt->inherited = false;
+    switch (status.state) {
+    case task_state::fetching:
+        attempt->phase = attempt_phase::fetching;
+        break;
+    case task_state::running:
+        reconcile_running(machine, *job, *attempt, now);
+        break;
+    case task_state::checkpointing:
+        attempt->phase = attempt_phase::checkpointing;
+        break;
+    case task_state::exited:
+        reconcile_exited(machine, *job, *attempt, status, now);
+        break;
+    }
+}
+
+start_evidence task_reconciler::reconcile_missing(workers::machine &machine, catalog::job &job,
+                                                  catalog::attempt &attempt, workers::evidence seen,
+                                                  time_point now) {
+    auto verdict = judge(attempt, machine, {seen, state_.term().first_token, now});
+    if (verdict == workers::verdict::still_possible)
+        return start_evidence::none;
+    // A new incarnation ended the task: that says nothing of whether the start arrived.
+    bool start_ignored = seen == workers::evidence::missing_from_heartbeat &&
+                         attempt.phase == attempt_phase::sent && !attempt.inherited;
+    if (verdict == workers::verdict::send_again)
+        attempt.phase = attempt_phase::committed;
+    else
+        state_.release_attempt(job, attempt.task.index, true);
+    return start_ignored ? start_evidence::ignored : start_evidence::none;
+}
+
+void task_reconciler::reconcile_unknown(workers::machine &machine, catalog::job *job,
+                                        const task_status &status, time_point now) {
+    if (status.state == task_state::exited)
+        reconcile_unknown_exit(machine, job, status, now);
+    else if (job && status.index < job->spec.tasks && !job->live.contains(status.index))
+        adopt(machine, *job, status, now);
+    else
+        machine.cleanup_commands.push_back(cleanup_command(command_kind::stop, status));
+}
+
+void task_reconciler::reconcile_unknown_exit(workers::machine &machine, catalog::job *job,
+                                             const task_status &status, time_point now) {
+    // A completed task is completed, whoever started it.
+    if (is_new_result(job, status)) {
+        task_done(*job, status.index, now);
+        if (auto *other = state_.find_attempt({status.job, status.index})) {
+            if (other->possibly_running())
+                state_.request_stop(*other, seconds{});
+            else
+                state_.release_attempt(*job, status.index, false);
+        }
+    }
+    // Kept until its being done is durable: losing it would lose the result.
+    if (!awaits_durability(job, status))
+        machine.cleanup_commands.push_back(cleanup_command(command_kind::remove, status));
+}
+
+void task_reconciler::reconcile_running(workers::machine &machine, const catalog::job &job,
+                                        catalog::attempt &attempt, time_point now) {
+    if (attempt.phase != attempt_phase::running) {
+        attempt.running_since = now;
+        state_.request_planning();
+        spdlog::debug("{}/{} runs on {} ({} {}) {:.1f} s after it was accepted, {:.1f} s after "
+                      "its placement",
+                      attempt.task.job, attempt.task.index, machine.name, machine.type.name,
+                      machine.zone, (now - job.accepted_at).count(),
+                      (now - attempt.created_at).count());
+    }
+    state_.failures().machine_ran(machine.name, attempt.created_at);
+    attempt.phase = attempt_phase::running;
+    attempt.running_seen = now;
+    machine.use_image(job.spec.image, job.spec.image_gb, now);
+}
+
+void task_reconciler::reconcile_exited(workers::machine &machine, catalog::job &job,
+                                       catalog::attempt &attempt, const task_status &status,
+                                       time_point now) {
+    state_.request_planning();
+    attempt.phase = attempt_phase::exited;
+    attempt.cause = status.cause;
+    bool result = false; // the worker keeps it until it is durable
+    switch (status.cause) {
+    case exit_cause::done:
+        result = job.spec.shape == job_shape::array && !job.over();
+        attempt_completed(machine, job, attempt, now);
+        break;
+    case exit_cause::error:
+        failures_.attempt_failed(machine, job, attempt, now);
+        break;
+    case exit_cause::no_room:
+    case exit_cause::busy:
+        machine.refused_until = now + constants::refused_pause;
+        state_.clear_queue(machine);
+        break;
+    case exit_cause::unknown:
+        // The job's user may not have uploaded its image yet.
+        job.backoff_until = now + constants::refused_pause;
+        break;
+    case exit_cause::stopped:
+    case exit_cause::none:
+        break;
+    }
+    if (result)
+        return;
+    state_.release_attempt(job, attempt.task.index, true);
+    machine.cleanup_commands.push_back(cleanup_command(command_kind::remove, status));
+}
+
+void task_reconciler::attempt_completed(workers::machine &machine, catalog::job &job,
+                                        const catalog::attempt &attempt, time_point now) {
+    state_.failures().machine_ran(machine.name, attempt.created_at);
+    machine.use_image(job.spec.image, job.spec.image_gb, now);
+    if (job.spec.shape == job_shape::array && !job.over()) {
+        seconds ran = attempt.ran_for(now);
+        if (ran > seconds{})
+            measure_run_time(machine, job, ran);
+        task_done(job, attempt.task.index, now);
+    }
+    failures_.attempt_completed(job);
+}
+
+void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job, seconds ran) {
+    seconds normal = ran * std::max(machine.speed, constants::speed_floor);
+    // Compared with the job's other tasks, since estimates err a job at a time.
+    if (job.took_count >= speed_reference_tasks) {
+        seconds mean = job.took_sum / job.took_count;
+        double sample = std::clamp(mean / ran, least_speed_sample, most_speed_sample);
+        machine.speed =
+            (1 - constants::speed_gain) * machine.speed + constants::speed_gain * sample;
+        ++machine.speed_samples;
+    }
+    job.took_sum += normal;
+    ++job.took_count;
+    state_.estimates().measured(job.spec.job_class, job.spec.estimate, normal);
+}
+
+void task_reconciler::task_done(catalog::job &job, std::uint32_t index, time_point now) {
+    if (job.over() || job.done[index])
+        return;
+    take_from_waiting(job, index);
+    job.done[index] = true;
+    ++job.done_seen;
+    on_done_(job, index, now);
+}
+
+void task_reconciler::adopt(workers::machine &machine, catalog::job &job, const task_status &status,
+                            time_point now) {
+    take_from_waiting(job, status.index);
+    catalog::attempt adopted;
+    adopted.task = {status.job, status.index};
+    adopted.number = status.attempt;
+    adopted.machine = machine.name;
+    adopted.phase = phase_of(status.state);
+    adopted.created_at = now;
+    adopted.running_since = now;
+    adopted.estimate = state_.expected_run_time(job);
+    auto &kept = state_.add_attempt(job, std::move(adopted));
+    state_.request_stop(kept, seconds{});
+    spdlog::info("{}: adopted {}/{} attempt {}", machine.name, status.job, status.index,
+                 status.attempt);
+}
+
+void task_reconciler::take_from_waiting(catalog::job &job, std::uint32_t index) {
+    state_.remove_from_queue(job, index);
+    job.again.erase(index);
+    // Tasks before it that were never placed stay waiting.
+    for (; job.next_fresh <= index; ++job.next_fresh) {
+        auto passed = job.next_fresh;
+        if (passed != index && !job.done[passed] && !job.live.contains(passed) &&
+            !job.queued.contains(passed))
+            job.again.insert(passed);
+    }
+}
+
+} // namespace spindlecroft::reconciliation
