--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -4,6 +4,8 @@
 #include "control/answers.hpp"
 #include "fairness/team_queues.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
 #include "store/keys.hpp"
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -1,21 +1,24 @@
-// The deciding part of a controller: events and time in, decisions out. It does no input or output,
-// so that traces can replay it.
+// The scheduler: the deciding half of a leader. Events and the time go in, decisions come out. It
+// does no input or output, so that kept traces can replay it. This class only joins the parts that
+// decide; each of them owns its state and works on the cluster's state (src/model):
+//
+//   reconciliation  heartbeats against stored state, commands, leases
+//   planning        bids, queues, preemption
+//   fleet           scale out and in, machine health
+//   records         what must be durable before its consequence
+//   dependencies    job chains
 #pragma once
-#include "catalog/dependency_graph.hpp"
-#include "catalog/job.hpp"
 #include "common/time.hpp"
 #include "dependencies/chain_inheritance.hpp"
 #include "dependencies/dependency_tracker.hpp"
-#include "fairness/chain_order.hpp"
-#include "fairness/team_order.hpp"
-#include "fairness/team_queues.hpp"
 #include "fleet/fleet_manager.hpp"
-#include "model/boot_age.hpp"
 #include "model/cluster_state.hpp"
-#include "planning/bidder.hpp"
-#include "planning/placement_rules.hpp"
-#include "planning/rental_offer.hpp"
 #include "planning/round_planner.hpp"
+#include "reconciliation/command_composer.hpp"
+#include "reconciliation/failure_review.hpp"
+#include "reconciliation/heartbeat_age.hpp"
+#include "reconciliation/heartbeat_reconciler.hpp"
+#include "reconciliation/lease_monitor.hpp"
 #include "records/done_records.hpp"
 #include "records/durable_write.hpp"
 #include "records/job_ends.hpp"
@@ -26,12 +29,8 @@
 #include "records/suspect_record.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
-#include "workers/failure_ledger.hpp"
-#include "workers/machine.hpp"
-#include <deque>
-#include <functional>
+#include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <set>
 #include <string>
@@ -39,97 +38,144 @@
 
 namespace spindlecroft::control {
 
-using planning::bidder;
 using records::durable_write;
 using records::write_kind;
 
 class scheduler {
   public:
-    scheduler(const settings::settings &s, std::vector<machine_type> types);
+    scheduler(const settings::settings &settings, std::vector<machine_type> types);
+    // The parts refer to one another.
+    scheduler(const scheduler &) = delete;
+    scheduler &operator=(const scheduler &) = delete;
 
-    // --- taking over ---
-    // wall_offset: time of day minus the steady clock, for records that outlive this process.
+    // --- failover: the stored records are loaded in this order, between begin and loaded ---
+    // clock: places times of day in records on the steady clock.
     void begin(time_point now, std::uint64_t token, wall_clock clock);
-    void load_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                  time_point now);
-    void load_done(const std::string &record, const std::vector<wire::done_part> &parts);
-    void load_placed(const std::string &record, const std::vector<wire::placed_task> &tasks,
-                     time_point now);
-    // A placement record can't be read: what it names may run anywhere until each worker has
-    // reported or its lease is over, and nothing starts before.
+    void load_job(const std::string &id, const wire::job_record &record, std::uint64_t revision,
+                  time_point now) {
+        job_loader_.load(id, record, revision, now);
+    }
+    void load_done(const std::string &name, const std::vector<wire::done_part> &parts) {
+        done_records_.load(name, parts);
+    }
+    void load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
+                     time_point now) {
+        placements_.load(name, tasks, now);
+    }
+    // A placement record can't be read: what it names may run anywhere until each worker has sent a
+    // heartbeat or its lease is over, and nothing starts before.
     void load_unreadable_placements(time_point now);
-    void load_rental(const std::string &round, const wire::rental_record &r, time_point now);
+    void load_rental(const std::string &round, const wire::rental_record &record, time_point now) {
+        fleet_.load_rental(round, record, now);
+    }
     // Jobs that an earlier leader found to fail wherever they ran.
-    void load_suspects(const std::vector<std::string> &jobs, time_point now);
+    void load_suspects(const std::vector<std::string> &jobs, time_point now) {
+        suspect_record_.load(jobs, now);
+    }
     void loaded(time_point now);
 
-    // --- events ---
-    void on_job(const std::string &id, const wire::job_record &r, std::uint64_t version,
-                time_point now);
+    // --- jobs ---
+    // The record of an active job, as of this revision.
+    void on_job(const std::string &id, const wire::job_record &record, std::uint64_t revision,
+                time_point now) {
+        job_loader_.on_record(id, record, revision, now);
+    }
     // A cancel that is durable, told before the job's record comes.
-    void on_cancel(const cancel_notice &n, time_point now);
-    // How a predecessor ended, as its durable record says; the time is that of day.
+    void on_cancel(const cancel_notice &notice, time_point now) {
+        job_loader_.on_cancel(notice, now);
+    }
+    // How a predecessor ended, as its durable record says.
     void on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
-                            time_point now);
+                            time_point now) {
+        dependencies_.on_predecessor_end(id, end, now);
+    }
     // Predecessors of which neither an active nor an ended record is known here. Until they are,
     // the jobs that need them don't start.
-    std::set<std::string> unresolved_predecessors() const;
-    void on_token(std::uint64_t token);
-    // A heartbeat, from /checkin or in the answer to a direct command.
-    enum class heartbeat_age {
-        fresh,
-        stale, // of the current incarnation, but a newer message came before it
-        dead,  // of an earlier incarnation, or of a machine that is gone
-    };
+    std::set<std::string> unresolved_predecessors() const {
+        return dependencies_.unresolved_predecessors();
+    }
+
+    // --- workers ---
+    // The leader raised its fencing token.
+    void on_token(std::uint64_t token) { state_.raise_token(token); }
+    using heartbeat_age = reconciliation::heartbeat_age;
     // reply: it came in the answer to a direct command, not as a heartbeat of its own.
-    heartbeat_age on_heartbeat(const heartbeat &r, time_point now, bool reply = false);
-    // Orders to give in the answer to the newest heartbeat.
-    // starts: whether tasks may be started now.
+    heartbeat_age on_heartbeat(const heartbeat &received, time_point now, bool reply = false);
+    // Neither the heartbeat nor what is possibly running there names a task.
+    [[nodiscard]] bool holds_nothing(const heartbeat &received) const {
+        return heartbeats_.holds_nothing(received);
+    }
+    // Commands to give in the answer to the newest heartbeat. starts: tasks may be started now.
     std::vector<command> commands_for_answer(const std::string &machine, time_point now,
                                              bool starts = true);
-    // Neither the heartbeat nor what is possibly running names a task.
-    bool holds_nothing(const heartbeat &r) const;
-    // The answer was given: the worker's lease may now last until then.
-    void answered(const std::string &machine, heartbeat_age age, time_point now);
-    // Orders for a direct command; marks the machine until the command is resolved.
+    // The answer was given: the worker's lease may now last for its whole length from then.
+    void answered(const std::string &machine, heartbeat_age age, time_point now) {
+        heartbeats_.note_answer(machine, age, now);
+    }
+    // Commands for a direct message; if one is a start, the machine is marked until the message is
+    // resolved or unresolved for good.
     std::vector<command> direct_commands_for(const std::string &machine, time_point now,
                                              bool starts = true);
     // Whether every start among the commands is still wanted.
-    bool starts_wanted(const std::vector<command> &commands) const;
-    void command_resolved(const std::string &machine);
+    [[nodiscard]] bool starts_wanted(const std::vector<command> &commands) const {
+        return commands_.starts_wanted(commands);
+    }
+    // The direct message was executed, or surely never will be.
+    void command_resolved(const std::string &machine) { commands_.resolved(machine); }
+    // It may yet be executed, as long as the machine has seen no higher token.
     void command_unresolved(const std::string &machine, std::uint64_t token,
-                            std::uint64_t incarnation);
-    void on_types(std::vector<machine_type> types);
+                            std::uint64_t incarnation) {
+        commands_.unresolved(machine, token, incarnation);
+    }
+
+    // --- the cloud ---
+    void on_types(std::vector<machine_type> types) { state_.set_types(std::move(types)); }
     // A complete list of machines, asked for at asked_at.
-    void on_machine_list(const std::vector<listed_machine> &hosts, time_point asked_at,
-                         time_point now);
+    void on_machine_list(const std::vector<listed_machine> &machines, time_point asked_at,
+                         time_point now) {
+        fleet_.on_machine_list(machines, asked_at, now);
+    }
     void on_rented(const std::string &request, const std::vector<std::string> &machines,
-                   time_point now);
+                   time_point now) {
+        fleet_.on_rented(request, machines, now);
+    }
     void on_rent_refused(const std::string &request, time_point now);
-    void on_rent_unsure(const std::string &request, time_point now);
-    void on_deleted(const std::vector<std::string> &machines, time_point now);
-    void on_delete_failed(const std::vector<std::string> &machines);
+    void on_rent_unsure(const std::string &request, time_point now) {
+        fleet_.on_rent_unsure(request, now);
+    }
+    void on_deleted(const std::vector<std::string> &machines, time_point now) {
+        fleet_.on_deleted(machines, now);
+    }
+    void on_delete_failed(const std::vector<std::string> &machines) {
+        fleet_.on_delete_failed(machines);
+    }
+
+    // --- the store ---
     // The outcome of a change that was handed out.
     void on_written(const durable_write &write, bool committed, time_point now);
-    void tick(time_point now);
-    // Changes a second that the key-value store allows.
+    // Changes a second that the store allows.
     void set_state_write_rps(double rps) { settings_.state_write_rps = rps; }
 
-    // --- decisions ---
-    // room: how many records that can wait may be given out now; what waits longer covers more.
+    // Checks, plans and scales, each as often as it is due.
+    void tick(time_point now);
+
+    // --- decisions to carry out ---
+    // room: how many records that can wait may be handed out now; what waits longer covers more.
     std::vector<durable_write> take_writes(time_point now, std::size_t room = 1000);
-    std::vector<std::string> take_deletions(time_point now);
-    std::vector<rental_request> take_rentals(time_point now);
+    std::vector<std::string> take_deletions(time_point now) { return fleet_.take_deletions(now); }
+    std::vector<rental_request> take_rentals(time_point now) { return fleet_.take_rentals(now); }
     // Machines to which commands should go at once.
     std::vector<std::string> take_urgent() { return state_.take_urgent(); }
-    // A command to it is under way already: it is to be given out again.
+    // A command to it is under way already: it is to be handed out again.
     void keep_urgent(const std::string &machine) { state_.mark_urgent(machine); }
-    bool wants_token_raise(time_point now);
+    // Only a higher token proves that some unresolved command is dead.
+    bool wants_token_raise(time_point now) { return commands_.wants_token_raise(now); }
 
     // --- views ---
     struct progress {
         std::uint32_t done = 0, running = 0;
     };
+    // Nothing: the job is not active.
     std::optional<progress> job_progress(const std::string &id) const;
     const workers::machine *find_machine(const std::string &name) const {
         return state_.find_machine(name);
@@ -139,43 +185,14 @@
     const std::map<std::string, workers::machine> &machines() const { return state_.machines(); }
     const std::vector<machine_type> &types() const { return state_.types(); }
     std::uint64_t token() const { return state_.term().token; }
+    // One line for the log.
     std::string summary() const;
 
   private:
-    using job_t = catalog::job;
-    using machine_t = workers::machine;
-    using attempt_t = catalog::attempt;
-
-    void reconcile_listed_task(machine_t &m, const task_status &t, time_point now);
-    void reconcile_exited_task(machine_t &m, job_t &j, attempt_t &a, const task_status &t,
-                               time_point now);
-    void reconcile_missing_task(machine_t &m, job_t &j, attempt_t &a, const heartbeat &r,
-                                time_point now);
-    void task_done(job_t &j, std::uint32_t index, time_point now);
-    void task_failed(machine_t &m, job_t &j, const attempt_t &a, time_point now);
-    // An attempt that runs for long enough, or is done, shows that the job works.
-    bool job_runs(const job_t &j) const;
-    // Draws the conclusions about machines and jobs on which attempts failed.
-    void review_failures();
-    void quarantine_faulty();
-    void detect_outbound_partition(machine_t &m, const heartbeat &r, bool new_incarnation,
-                                   time_point now);
-    void adopt_task(machine_t &m, job_t &j, const task_status &t, time_point now);
-    std::vector<command> commands(machine_t &m, bool in_answer, time_point now, bool may_start);
-
-    void check_leases(time_point now);
-    void check_cancelled(time_point now);
-    void check_machines(time_point now);
-    void plan_bids(time_point now);
-    // The machines that may get work now, with what they hold brought up to date.
-    std::vector<bidder *> make_bidders(time_point now);
-    void plan_fleet(time_point now);
-    void inherit_along_chains() { inheritance_.update(dependencies_.graph()); }
-    void note_done(job_t &done_in, std::uint32_t index, time_point now) {
-        done_records_.note_done(done_in, index, now);
-    }
-    std::size_t most_record_bytes() const { return records::most_record_bytes(settings_); }
-    void write_rentals(std::vector<durable_write> &out);
+    void check(time_point now);
+    void plan(time_point now);
+    void scale(time_point now);
+    void take_rental_writes(std::vector<durable_write> &out);
     void on_rental_written(const durable_write &write, bool committed);
 
     settings::settings settings_;
@@ -189,15 +206,17 @@
     records::record_cleanup cleanup_;
     planning::round_planner planner_;
     dependencies::chain_inheritance inheritance_{settings_, state_, planner_.quota().teams()};
-    fleet::fleet_manager fleet_{settings_, state_, most_record_bytes()};
+    fleet::fleet_manager fleet_{settings_, state_, records::most_record_bytes(settings_)};
+    reconciliation::failure_review failure_review_{state_};
+    reconciliation::heartbeat_reconciler heartbeats_;
+    reconciliation::command_composer commands_{state_};
+    reconciliation::lease_monitor leases_{state_, settings_};
 
-    bool ready_ = false;
-    std::optional<time_point> hold_until_; // s; no task is placed before
-    std::optional<time_point> last_plan_;
-    std::optional<time_point> last_fleet_;
-    std::optional<time_point> last_raise_;
+    bool ready_ = false;                   // the records are loaded
+    std::optional<time_point> hold_until_; // no task is placed before
     std::optional<time_point> last_check_;
-    bool starts_ignored_ = false, starts_seen_ = false; // in the heartbeat at hand
+    std::optional<time_point> last_plan_;
+    std::optional<time_point> last_scaling_;
 };
 
 } // namespace spindlecroft::control
--- a/src/dependencies/chain_inheritance.cpp
+++ b/src/dependencies/chain_inheritance.cpp
@@ -1,6 +1,8 @@
 #include "dependencies/chain_inheritance.hpp"
 #include "constants.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
 #include <algorithm>
 #include <cmath>
 #include <utility>
--- a/src/fleet/fleet_manager.hpp
+++ b/src/fleet/fleet_manager.hpp
@@ -8,6 +8,8 @@
 #include "fleet/scale_out.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
 #include "settings/settings.hpp"
 #include "wire/codec.hpp"
 #include "wire/types.hpp"
--- a/src/fleet/offers.cpp
+++ b/src/fleet/offers.cpp
@@ -1,6 +1,7 @@
 #include "fleet/offers.hpp"
 #include "bidding/bid.hpp"
 #include "constants.hpp"
+#include "planning/placement_rules.hpp"
 #include <algorithm>
 
 namespace spindlecroft::fleet {
--- a/src/fleet/offers.hpp
+++ b/src/fleet/offers.hpp
@@ -3,6 +3,8 @@
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
 #include "wire/types.hpp"
 #include <compare>
 #include <map>
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -1,5 +1,6 @@
 #include "fleet/scale_out.hpp"
 #include "constants.hpp"
+#include "planning/placement_rules.hpp"
 #include <algorithm>
 #include <cmath>
 #include <optional>
--- a/src/fleet/scale_out.hpp
+++ b/src/fleet/scale_out.hpp
@@ -6,6 +6,8 @@
 #include "fleet/rental_requests.hpp"
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
+#include "planning/placement_rules.hpp"
+#include "planning/rental_offer.hpp"
 #include "settings/settings.hpp"
 #include <cstdint>
 #include <map>
--- a/src/records/durable_write.hpp
+++ b/src/records/durable_write.hpp
@@ -27,7 +27,7 @@
     std::string record;              // placed, done: the record's name
     std::vector<placed_attempt> attempts; // placed: newly covered
     std::vector<catalog::task_ref> done;  // done: newly covered
-    std::string rental_round;           // rental_request: the round's name
+    std::string rental_round;             // rental_request: the round's name
     std::vector<std::string> suspects;    // suspects: the jobs
 };
 
--- a/src/records/job_ends.cpp
+++ b/src/records/job_ends.cpp
@@ -1,7 +1,7 @@
 #include "records/job_ends.hpp"
 #include "constants.hpp"
-#include "wire/codec.hpp"
 #include "store/keys.hpp"
+#include "wire/codec.hpp"
 #include <algorithm>
 
 namespace spindlecroft::records {
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -82,8 +82,8 @@
         fill(filled, extended, from, now);
         bool full = filled.full;
         if (!filled.write.attempts.empty()) {
-            filled.write.ops.push_back(
-                {store::keys::placements(from.open_record), wire::encode_placed(extended.tasks), 0});
+            filled.write.ops.push_back({store::keys::placements(from.open_record),
+                                        wire::encode_placed(extended.tasks), 0});
             if (paced && !full)
                 next_array_write_ = now + write_gap();
             extended.writing = true;
@@ -164,7 +164,8 @@
     filled.bytes += wire::placed_bytes(placement);
     // A cancel changes the job's record, so it wins over a placement made meanwhile.
     if (filled.jobs.insert(task.job).second)
-        filled.write.when.push_back({store::keys::active_job(task.job), state_.find_job(task.job)->version});
+        filled.write.when.push_back(
+            {store::keys::active_job(task.job), state_.find_job(task.job)->version});
     filled.write.attempts.push_back({task, placement.attempt});
     extended.tasks.push_back(std::move(placement));
 }
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -1,8 +1,8 @@
 #include "records/suspect_record.hpp"
 #include "constants.hpp"
 #include "records/record_sizes.hpp"
-#include "wire/codec.hpp"
 #include "store/keys.hpp"
+#include "wire/codec.hpp"
 #include <cstddef>
 #include <utility>
 
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -1,4 +1,5 @@
 // The parts of the fleet, each alone.
+#include "builders.hpp"
 #include "constants.hpp"
 #include "fleet/array_demand.hpp"
 #include "fleet/deletion_reason.hpp"
@@ -9,7 +10,6 @@
 #include "fleet/scale_in.hpp"
 #include "fleet/scale_out.hpp"
 #include "model/boot_age.hpp"
-#include "builders.hpp"
 #include "test_time.hpp"
 #include <fmt/format.h>
 #include <gtest/gtest.h>
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -1,4 +1,5 @@
 // The parts of planning, each alone on a small cluster.
+#include "builders.hpp"
 #include "constants.hpp"
 #include "planning/bid_round.hpp"
 #include "planning/bidder_table.hpp"
@@ -7,7 +8,7 @@
 #include "planning/queue_starter.hpp"
 #include "planning/quota_accounting.hpp"
 #include "planning/service_order.hpp"
-#include "trace_runner.hpp"
+#include "test_time.hpp"
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,4 +1,5 @@
 // The parts that keep durable records, each alone on a small cluster state.
+#include "builders.hpp"
 #include "constants.hpp"
 #include "model/cluster_state.hpp"
 #include "records/done_records.hpp"
@@ -6,7 +7,6 @@
 #include "records/placement_records.hpp"
 #include "records/record_cleanup.hpp"
 #include "test_time.hpp"
-#include "trace_runner.hpp"
 #include "wire/codec.hpp"
 #include <fmt/format.h>
 #include <gtest/gtest.h>
