--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -14,6 +14,7 @@
 struct task_ref {
     std::string job;
     std::uint32_t index = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
     auto operator<=>(const task_ref &) const = default;
 };
 
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -110,7 +110,7 @@
     co_return true;
 }
 
-void job_cache::replace_active(std::map<std::string, cached_job> jobs) {
+void job_cache::replace_active(std::map<std::string, cached_job> &&jobs) {
     active_.clear();
     graph_.clear();
     for (auto &[id, job] : jobs)
--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -80,7 +80,7 @@
   private:
     // Reads all active records anew. False: could not be read.
     net::awaitable<bool> load();
-    void replace_active(std::map<std::string, cached_job> jobs);
+    void replace_active(std::map<std::string, cached_job> &&jobs);
     void take_changes(const store::watch_result &watched);
     void apply(const wire::range_answer &changes);
     // These may throw malformed_message.
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -181,9 +181,10 @@
 }
 
 std::string scheduler::summary() const {
-    std::size_t up = 0, booting = 0, spot = 0, queued = 0, attempts = 0, waiting = 0, running = 0;
+    std::size_t ready = 0, booting = 0, spot = 0, queued = 0, attempts = 0, waiting = 0,
+                running = 0;
     for (const auto &[name, machine] : state_.machines()) {
-        ++(machine.up ? up : booting);
+        ++(machine.up ? ready : booting);
         spot += machine.spot ? 1 : 0;
         queued += machine.queue.size();
         attempts += machine.attempts.size();
@@ -194,8 +195,8 @@
     }
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
                        "{} queued {} waiting, {} stopped to make room",
-                       up, booting, spot, state_.jobs().size(), attempts, running, queued, waiting,
-                       planner_.preempted_tasks());
+                       ready, booting, spot, state_.jobs().size(), attempts, running, queued,
+                       waiting, planner_.preempted_tasks());
 }
 
 } // namespace spindlecroft::control
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -45,6 +45,7 @@
   public:
     scheduler(const settings::settings &settings, std::vector<machine_type> types);
     // The parts refer to one another.
+    ~scheduler() = default;
     scheduler(const scheduler &) = delete;
     scheduler &operator=(const scheduler &) = delete;
 
--- a/src/dependencies/dependency_tracker.cpp
+++ b/src/dependencies/dependency_tracker.cpp
@@ -15,10 +15,10 @@
            attempt.phase == attempt_phase::committed || attempt.phase == attempt_phase::exited;
 }
 
-std::vector<std::uint32_t> live_indices(const catalog::job &of) {
+std::vector<std::uint32_t> live_indices(const catalog::job &job) {
     std::vector<std::uint32_t> indices;
-    indices.reserve(of.live.size());
-    for (const auto &[index, attempt] : of.live)
+    indices.reserve(job.live.size());
+    for (const auto &[index, attempt] : job.live)
         indices.push_back(index);
     return indices;
 }
--- a/src/fleet/fleet_manager.hpp
+++ b/src/fleet/fleet_manager.hpp
@@ -27,6 +27,7 @@
     fleet_manager(const settings::settings &settings, model::cluster_state &state,
                   std::size_t record_bytes);
     // The parts refer to each other.
+    ~fleet_manager() = default;
     fleet_manager(const fleet_manager &) = delete;
     fleet_manager &operator=(const fleet_manager &) = delete;
 
--- a/src/fleet/offers.hpp
+++ b/src/fleet/offers.hpp
@@ -18,6 +18,7 @@
 struct offer_key {
     std::string type, zone;
     bool spot = false;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
     auto operator<=>(const offer_key &) const = default;
 };
 
--- a/src/planning/bid_round.hpp
+++ b/src/planning/bid_round.hpp
@@ -51,6 +51,7 @@
         double cpus = 0, gpus = 0, memory_gb = 0;
         bool service = false, critical = false;
         allowed_classes allowed;
+        // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
         auto operator<=>(const need &) const = default;
     };
     // The bids for the tasks of one job.
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -52,8 +52,9 @@
                                         candidates_.push_back({running.created_at, running.task});
                                 });
     }
-    std::stable_sort(candidates_.begin(), candidates_.end(),
-                     [](const auto &a, const auto &b) { return a.created_at > b.created_at; });
+    std::stable_sort(
+        candidates_.begin(), candidates_.end(),
+        [](const auto &left, const auto &right) { return left.created_at > right.created_at; });
 }
 
 catalog::attempt *preemption::stoppable_for(const job_spec &spec, const candidate &which) {
@@ -129,9 +130,10 @@
     auto priority_of = [&](const catalog::attempt &which) {
         return state_.find_job(which.task.job)->spec.priority;
     };
-    std::sort(attempts.begin(), attempts.end(), [&](const auto *a, const auto *b) {
-        auto priority_a = priority_of(*a), priority_b = priority_of(*b);
-        return priority_a != priority_b ? priority_a > priority_b : a->created_at > b->created_at;
+    std::sort(attempts.begin(), attempts.end(), [&](const auto *left, const auto *right) {
+        auto priority_a = priority_of(*left), priority_b = priority_of(*right);
+        return priority_a != priority_b ? priority_a > priority_b
+                                        : left->created_at > right->created_at;
     });
 }
 
--- a/src/planning/quota_accounting.cpp
+++ b/src/planning/quota_accounting.cpp
@@ -48,7 +48,7 @@
         if (!job.over() && job.ready && !state_.failures().is_suspect(id))
             by_age.push_back(&job);
     std::sort(by_age.begin(), by_age.end(),
-              [](const auto *a, const auto *b) { return a->ready_at < b->ready_at; });
+              [](const auto *left, const auto *right) { return left->ready_at < right->ready_at; });
     std::map<std::string, fairness::usage> asked; // by the team's jobs so far
     for (auto *job : by_age) {
         const auto &spec = job->spec;
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -18,6 +18,7 @@
 struct claim {
     bool beyond_guarantee = false;
     double share_used = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
     auto operator<=>(const claim &) const = default;
 };
 
--- a/src/planning/round_planner.hpp
+++ b/src/planning/round_planner.hpp
@@ -22,6 +22,7 @@
     round_planner(const settings::settings &settings, model::cluster_state &state,
                   attempt_created on_created);
     // The parts refer to one another.
+    ~round_planner() = default;
     round_planner(const round_planner &) = delete;
     round_planner &operator=(const round_planner &) = delete;
 
--- a/src/records/done_records.hpp
+++ b/src/records/done_records.hpp
@@ -41,6 +41,7 @@
     struct job_part {
         std::string job;
         std::uint32_t number = 0;
+        // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
         auto operator<=>(const job_part &) const = default;
     };
     enum class capacity {
@@ -58,6 +59,7 @@
     struct due_record {
         time_point since{};
         std::string name;
+        // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
         auto operator<=>(const due_record &) const = default;
     };
 
--- a/src/store/budget.hpp
+++ b/src/store/budget.hpp
@@ -11,9 +11,7 @@
   public:
     // rate: tokens a second. burst: how long the bucket takes to fill; it starts full.
     explicit budget(double rate, seconds burst = seconds{1})
-        : rate_(rate), burst_(rate * burst.count()) {
-        tokens_ = burst_;
-    }
+        : rate_(rate), burst_(rate * burst.count()), tokens_(burst_) {}
     // Takes the tokens if the priority allows it; otherwise returns false and takes nothing.
     [[nodiscard]] bool take(double tokens, request_priority priority, time_point now);
     // Tokens a second from now on; the bucket then holds those of one second.
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -37,9 +37,8 @@
     unsigned char *buffer = nullptr;
     std::size_t size = 0;
     std::size_t length = cbor_serialize_alloc(item, &buffer, &size);
-    std::string bytes(reinterpret_cast<char *>(buffer), length);
-    std::free(buffer);
-    return bytes;
+    std::unique_ptr<unsigned char, decltype(&std::free)> owner(buffer, &std::free);
+    return {reinterpret_cast<char *>(owner.get()), length};
 }
 
 bool is_text(cbor_item_t *item) {
@@ -115,7 +114,7 @@
 }
 
 peer_message parse_peer(const std::string &body) {
-    cbor_load_result result;
+    cbor_load_result result{};
     cbor_item_t *item = cbor_load(reinterpret_cast<cbor_data>(body.data()), body.size(), &result);
     if (!item)
         fail("peer", "not CBOR");
--- a/src/workers/failure_ledger.cpp
+++ b/src/workers/failure_ledger.cpp
@@ -8,27 +8,27 @@
 
 namespace c = constants;
 
-bool failure_ledger::attempt_failed(const failure &f, time_point now) {
-    auto &machine = machines_[f.machine];
-    if (f.job_runs) {
-        faulty_.insert(f.machine);
+bool failure_ledger::attempt_failed(const failure &found, time_point now) {
+    auto &machine = machines_[found.machine];
+    if (found.job_runs) {
+        faulty_.insert(found.machine);
         return false;
     }
-    auto &job = jobs_[f.job];
-    job.failed_at[f.machine] = now;
-    job.longest_run = std::max(job.longest_run, f.ran);
+    auto &job = jobs_[found.job];
+    job.failed_at[found.machine] = now;
+    job.longest_run = std::max(job.longest_run, found.ran);
     if (job.suspect) {
         delay_retry(job, now);
         return false;
     }
     if (job.failed_at.size() >= c::suspect_machines) {
-        make_suspect(f.job, job, now);
+        make_suspect(found.job, job, now);
         return true;
     }
-    machine.undecided.insert(f.job);
+    machine.undecided.insert(found.job);
     machine.probation_until = now + c::probation;
     if (machine.undecided.size() >= c::undecided_jobs)
-        faulty_.insert(f.machine);
+        faulty_.insert(found.machine);
     return false;
 }
 
@@ -78,8 +78,8 @@
     if (i == jobs_.end())
         return;
     for (auto &[machine, failed_at] : i->second.failed_at) {
-        auto m = machines_.find(machine);
-        bool ran_since = m != machines_.end() && m->second.ran_at > failed_at;
+        auto known = machines_.find(machine);
+        bool ran_since = known != machines_.end() && known->second.ran_at > failed_at;
         if (!ran_since)
             faulty_.insert(machine);
     }
--- a/src/workers/failure_ledger.hpp
+++ b/src/workers/failure_ledger.hpp
@@ -21,7 +21,7 @@
         bool job_runs = false; // the job is known to run on other machines
     };
     // Returns true if this made the job suspect.
-    bool attempt_failed(const failure &f, time_point now);
+    bool attempt_failed(const failure &found, time_point now);
     // An attempt placed at created_at was seen running on, or completed by, the machine.
     void machine_ran(const std::string &machine, time_point created_at);
     // The job is known to run. Machines on which it failed, and which ran nothing since, are
--- a/src/workers/machine.cpp
+++ b/src/workers/machine.cpp
@@ -3,9 +3,9 @@
 namespace spindlecroft::workers {
 
 // The worker keeps the most recently used images that fit its disk; we follow the same rule.
-void machine::use_image(const std::string &image, double gb, time_point now) {
+void machine::use_image(const std::string &image, double size_gb, time_point now) {
     images[image] = now;
-    image_gb[image] = gb;
+    image_gb[image] = size_gb;
     double total = 0;
     for (auto &[i, g] : image_gb)
         total += g;
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -93,7 +93,7 @@
     // Whether it may be given new work at this time.
     bool takes_work(time_point now) const { return now >= refused_until && now >= probation_until; }
     void touch() { changed = startable = true; }
-    void use_image(const std::string &image, double gb, time_point now);
+    void use_image(const std::string &image, double size_gb, time_point now);
 };
 
 } // namespace spindlecroft::workers
