--- a/src/store/batch.cpp
+++ b/src/store/batch.cpp
@@ -1,7 +1,6 @@
 #include "store/batch.hpp"
 #include <algorithm>
 #include <numeric>
-#include <ranges>
 #include <utility>
 
 namespace spindlecroft::store {
@@ -108,9 +107,10 @@
 write_batch take_units(std::deque<write_unit> &waiting, const std::vector<std::size_t> &chosen) {
     write_batch batch;
     // From the end, so that the places that are left stay valid.
-    for (auto place : std::views::reverse(chosen)) {
-        batch.push_back(std::move(waiting[place]));
-        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(place));
+    // NOLINTNEXTLINE(modernize-loop-convert): clang 14 does not compile std::views::reverse.
+    for (auto place = chosen.rbegin(); place != chosen.rend(); ++place) {
+        batch.push_back(std::move(waiting[*place]));
+        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*place));
     }
     std::reverse(batch.begin(), batch.end());
     return batch;
--- a/tests/randomized_simulation.hpp
+++ b/tests/randomized_simulation.hpp
@@ -134,7 +134,18 @@
     void rent(const std::shared_ptr<control::scheduler> &leader, const rental_request &request);
     void delete_machines(const std::shared_ptr<control::scheduler> &leader,
                          const std::vector<std::string> &names);
+    // A direct message to a worker, shared by its delivery, its answer and its time-out.
+    struct direct_message {
+        std::shared_ptr<control::scheduler> leader;
+        std::string machine;
+        std::uint64_t incarnation = 0;
+        std::uint64_t token = 0;
+        std::vector<command> commands;
+        bool starts = false;  // one of the commands is a start
+        bool settled = false; // answered or given up
+    };
     void send_command(const std::string &name);
+    void deliver_command(const std::shared_ptr<direct_message> &message);
     bool may_renew() const;
     // Going back to the version before dependencies is allowed only then (docs/operations.md): its
     // leader does not know such a job, and would not count what runs of it.
@@ -194,6 +205,13 @@
     void check_team_limit_and_spread(const worker &w, const std::string &job);
     void check_cancelled();
     // After the troubles nothing waits 90 s while a machine that fits has room and its team may.
+    // What the machines that are up hold and could take, as a job's rules see it.
+    struct capacity_view {
+        double used_by_team = 0; // cores
+        bool has_room = false;   // for one task of the job, on a machine that fits
+        bool job_is_running = false;
+    };
+    capacity_view view_capacity(const std::string &id, const job_spec &spec) const;
     void check_waits();
     bool all_predecessors_done(const std::string &id);
     bool has_undone_task(const std::string &id, const job_spec &spec);
--- a/tests/simulated_leader.cpp
+++ b/tests/simulated_leader.cpp
@@ -114,54 +114,55 @@
 
 void simulation::send_command(const std::string &name) {
     auto leader = scheduler;
-    auto *m = leader->find_machine(name);
-    if (!m)
+    auto *machine = leader->find_machine(name);
+    if (!machine)
         return;
-    auto incarnation = m->incarnation;
+    auto incarnation = machine->incarnation;
     auto commands = leader->direct_commands_for(name, now, may_renew());
     if (commands.empty())
         return;
-    bool starts_in = false;
-    for (auto &o : commands)
-        starts_in = starts_in || o.kind == command_kind::start;
-    auto token = leader->token();
-    auto answered = std::make_shared<bool>(false);
-    at(now + seconds{2.5}, [this, leader, name, token, incarnation, answered, starts_in] {
-        if (!*answered && starts_in && leader == scheduler)
-            leader->command_unresolved(name, token, incarnation);
-        *answered = true;
+    bool starts = std::any_of(commands.begin(), commands.end(),
+                              [](auto &each) { return each.kind == command_kind::start; });
+    auto message = std::make_shared<direct_message>(
+        direct_message{leader, name, incarnation, leader->token(), commands, starts});
+    at(now + seconds{2.5}, [this, message] {
+        if (!message->settled && message->starts && message->leader == scheduler)
+            message->leader->command_unresolved(message->machine, message->token,
+                                                message->incarnation);
+        message->settled = true;
     });
-    auto arrive = std::make_shared<std::function<void()>>();
-    *arrive = [this, leader, name, incarnation, token, commands, answered, starts_in, arrive] {
-        auto i = workers.find(name);
-        if (i == workers.end() || !i->second.alive)
-            return;
-        auto &w = i->second;
-        if (now < w.inbound_partition_until)
-            return;
-        if (now < w.hang_until) {
-            // A hanging machine takes it up afterwards.
-            at(w.hang_until + seconds{0.01}, *arrive);
-            return;
-        }
-        advance_worker(w);
-        if (token >= w.token && incarnation == w.incarnation) {
-            w.token = token;
-            execute(w, commands);
-        }
-        auto r = make_heartbeat(w);
-        if (chance(0.1))
+    auto arrives_at = now + (chance(0.15) ? between(1, 40) : delay());
+    at(arrives_at, [this, message] { deliver_command(message); });
+}
+
+void simulation::deliver_command(const std::shared_ptr<direct_message> &message) {
+    auto found = workers.find(message->machine);
+    if (found == workers.end() || !found->second.alive)
+        return;
+    auto &worker = found->second;
+    if (now < worker.inbound_partition_until)
+        return;
+    if (now < worker.hang_until) {
+        // A hanging machine takes it up afterwards.
+        at(worker.hang_until + seconds{0.01}, [this, message] { deliver_command(message); });
+        return;
+    }
+    advance_worker(worker);
+    if (message->token >= worker.token && message->incarnation == worker.incarnation) {
+        worker.token = message->token;
+        execute(worker, message->commands);
+    }
+    auto shown = make_heartbeat(worker);
+    if (chance(0.1))
+        return;
+    at(now + delay(), [this, message, shown] {
+        if (message->settled || message->leader != scheduler)
             return;
-        at(now + delay(), [this, leader, name, r, answered, starts_in] {
-            if (*answered || leader != scheduler)
-                return;
-            *answered = true;
-            if (starts_in)
-                leader->command_resolved(name);
-            leader->on_heartbeat(r, now, true);
-        });
-    };
-    at(now + (chance(0.15) ? between(1, 40) : delay()), *arrive);
+        message->settled = true;
+        if (message->starts)
+            message->leader->command_resolved(message->machine);
+        message->leader->on_heartbeat(shown, now, true);
+    });
 }
 
 bool simulation::may_renew() const {
--- a/tests/simulation_rules.cpp
+++ b/tests/simulation_rules.cpp
@@ -104,30 +104,37 @@
     return false;
 }
 
+simulation::capacity_view simulation::view_capacity(const std::string &id,
+                                                    const job_spec &spec) const {
+    capacity_view view;
+    for (auto &[name, worker] : workers) {
+        if (!worker.alive || now < worker.up_at)
+            continue;
+        double free = worker.type == "small" ? 4 : 16;
+        for (auto &[key, task] : worker.tasks) {
+            if (task.state == task_state::exited)
+                continue;
+            auto &running = submitted.at(key.first);
+            free -= running.cpus;
+            view.used_by_team += running.team == spec.team ? running.cpus : 0;
+            view.job_is_running = view.job_is_running || key.first == id;
+        }
+        bool fits = free >= spec.cpus && (spec.spot || !worker.spot);
+        view.has_room = view.has_room || fits;
+    }
+    return view;
+}
+
 void simulation::check_waits() {
     for (auto &[id, record] : jobs) {
         auto &spec = record.job.spec;
+        auto view = view_capacity(id, spec);
         bool ready = all_predecessors_done(id);
         bool waits = ready && !record.job.cancelled && spec.shape == job_shape::array &&
-                     has_undone_task(id, spec);
-        double used = 0;
-        bool room = false;
-        for (auto &[name, w] : workers) {
-            if (!w.alive || now < w.up_at)
-                continue;
-            double free = w.type == "small" ? 4 : 16;
-            for (auto &[key, task] : w.tasks) {
-                if (task.state == task_state::exited)
-                    continue;
-                auto &running = submitted.at(key.first);
-                free -= running.cpus;
-                used += running.team == spec.team ? running.cpus : 0;
-                waits = waits && key.first != id;
-            }
-            room = room || (free >= spec.cpus && (spec.spot || !w.spot));
-        }
+                     has_undone_task(id, spec) && !view.job_is_running;
         auto *team = conf.find_team(spec.team);
-        if (!waits || !room || (team->cpus_max > 0 && used + spec.cpus > team->cpus_max))
+        bool over_limit = team->cpus_max > 0 && view.used_by_team + spec.cpus > team->cpus_max;
+        if (!waits || !view.has_room || over_limit)
             waits_since.erase(id);
         else if (waits_since.emplace(id, now).first->second < now - 90s)
             report_violation(fmt::format("waits: {}", describe(id)));
--- a/tests/store_batch_test.cpp
+++ b/tests/store_batch_test.cpp
@@ -43,6 +43,7 @@
 template <class Units>
 std::vector<std::string> keys_of(const Units &list) {
     std::vector<std::string> keys;
+    keys.reserve(list.size());
     for (auto &unit : list)
         keys.push_back(unit.ops.front().key);
     return keys;
