--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -111,7 +111,7 @@
 }
 
 awaitable<void> command_sender::send(std::shared_ptr<command_sender> self, std::string machine) {
-    auto &by = *by_;
+    auto &by = *self->by_;
     busy_mark mark(busy_, machine);
     if (!mark.made())
         co_return;
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -86,7 +86,7 @@
     change.conditions = write.when;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
-    change.on_outcome = [by = by_, write](store::write_outcome outcome, std::uint64_t revision) {
+    change.on_outcome = [by = by_, write](store::write_outcome outcome, std::uint64_t) {
         auto *core = by->scheduler_unless_ended();
         if (outcome == store::write_outcome::lost || !core)
             return;
