--- a/apps/spindlecroft/main.cpp
+++ b/apps/spindlecroft/main.cpp
@@ -32,7 +32,7 @@
     try {
         settings = spindlecroft::settings::load(config);
         if (!operator_file.empty())
-            settings.ops = spindlecroft::settings::load_operator(operator_file);
+            settings.options = spindlecroft::settings::load_operator_options(operator_file);
     } catch (const std::exception &e) {
         std::cerr << "spindlecroft: " << e.what() << "\n";
         return 2;
--- a/src/bidding/bid.cpp
+++ b/src/bidding/bid.cpp
@@ -4,7 +4,8 @@
 namespace spindlecroft::bidding {
 
 seconds estimates::expected_run_time(const job_spec &spec) const {
-    seconds base = spec.estimate > seconds{0} ? spec.estimate : constants::default_estimate;
+    seconds base =
+        spec.estimate > seconds{0} ? spec.estimate : constants::default_run_time_estimate;
     auto factor = factor_.find(spec.job_class);
     return factor == factor_.end() ? base : base * factor->second;
 }
@@ -17,8 +18,8 @@
     double &factor = factor_.try_emplace(job_class, 1.0).first->second;
     double ratio = std::clamp(took / estimate, least_ratio, largest_ratio);
     // In logarithms, so that twice too long and half too short cancel.
-    factor = std::exp((1 - constants::class_gain) * std::log(factor) +
-                      constants::class_gain * std::log(ratio));
+    factor = std::exp((1 - constants::class_sample_weight) * std::log(factor) +
+                      constants::class_sample_weight * std::log(ratio));
 }
 
 } // namespace spindlecroft::bidding
--- a/src/bidding/bid.hpp
+++ b/src/bidding/bid.hpp
@@ -29,7 +29,7 @@
     double memory_gb = 0;
 
     [[nodiscard]] bool fits(const job_spec &spec) const {
-        constexpr double tolerance = constants::amount_tolerance;
+        constexpr double tolerance = constants::resource_tolerance;
         return spec.cpus <= cpus + tolerance && spec.gpus <= gpus + tolerance &&
                spec.memory_gb <= memory_gb + tolerance;
     }
@@ -47,7 +47,7 @@
     }
     /// How many such tasks fit at once.
     [[nodiscard]] int slots(const job_spec &spec) const {
-        constexpr double tolerance = constants::amount_tolerance;
+        constexpr double tolerance = constants::resource_tolerance;
         constexpr double unbounded = 1e6; // for a task that needs nothing
         double tasks = unbounded;
         if (spec.cpus > 0)
@@ -92,7 +92,7 @@
     bid.queue_time += input.boot_time;
     if (!input.has_image && input.fetch_gb_per_s > 0)
         bid.fetch_time = seconds{spec.image_gb / input.fetch_gb_per_s * (1 + input.fetches)};
-    bid.run_time = input.expected_run_time / std::max(input.speed, constants::speed_floor);
+    bid.run_time = input.expected_run_time / std::max(input.speed, constants::min_speed);
     return bid;
 }
 
--- a/src/catalog/cancelled_record.cpp
+++ b/src/catalog/cancelled_record.cpp
@@ -11,7 +11,7 @@
     record.spec.predecessors.clear();
     auto too_long = [&] { return wire::encode_job_record(record).size() > most_bytes; };
     if (too_long())
-        record.spec.types.reset();
+        record.spec.machine_types.reset();
     if (too_long()) {
         record.spec.zone.reset();
         record.spec.image.assign(1, '-');
--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -109,7 +109,9 @@
     // Tasks that are reported running.
     std::uint32_t running() const;
     // Replicas, or tasks, that may be in one zone.
-    std::uint32_t zone_cap() const { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
+    std::uint32_t zone_cap() const {
+        return spec.spread_across_zones ? (spec.tasks + 1) / 2 : spec.tasks;
+    }
 };
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -20,8 +20,8 @@
 } // namespace
 
 job_cache::job_cache(net::asio::io_context &io, store::key_value_client &state)
-    : state_(state), ended_(c::ended_in_memory), absent_(c::absent_in_memory), wake_(io),
-      served_(io) {}
+    : state_(state), ended_(c::max_cached_ended_jobs), absent_(c::max_cached_absent_jobs),
+      wake_(io), served_(io) {}
 
 void job_cache::stop() {
     stopping_ = true;
@@ -70,12 +70,12 @@
         if (job && job->record.cancelled)
             graph_.note_end(predecessor, {job_state::cancelled, job->record.cancelled_at});
         else if (auto end = ended(predecessor))
-            graph_.note_end(predecessor, {end->state, end->at});
+            graph_.note_end(predecessor, {end->state, end->ended_at});
     }
 }
 
 void job_cache::remember_ended(const std::string &id, const wire::ended_record &record) {
-    graph_.note_end(id, {record.state, record.at});
+    graph_.note_end(id, {record.state, record.ended_at});
     ended_.add(id, record);
 }
 
@@ -95,7 +95,7 @@
     for (auto &item : listed->items) {
         try {
             jobs[id_of(item.key, keys::active_jobs_prefix)] = {wire::parse_job_record(item.value),
-                                                               item.version};
+                                                               item.revision};
         } catch (const wire::malformed_message &error) {
             spdlog::error("{}: {}", item.key, error.what());
         }
@@ -139,7 +139,7 @@
     if (changes.revision <= revision_)
         return;
     for (auto &item : changes.items) {
-        if (item.version <= revision_)
+        if (item.revision <= revision_)
             continue;
         try {
             apply_change(item);
@@ -154,7 +154,8 @@
     if (item.key.starts_with(keys::active_jobs_prefix))
         apply_active(id_of(item.key, keys::active_jobs_prefix), item);
     else if (item.key.starts_with(keys::ended_jobs_prefix) && !item.value.empty())
-        remember_ended(id_of(item.key, keys::ended_jobs_prefix), wire::parse_ended(item.value));
+        remember_ended(id_of(item.key, keys::ended_jobs_prefix),
+                       wire::parse_ended_record(item.value));
 }
 
 void job_cache::apply_active(const std::string &id, const kv_item &item) {
@@ -163,7 +164,7 @@
         drop_active(id);
         return;
     }
-    take_active(id, {wire::parse_job_record(item.value), item.version});
+    take_active(id, {wire::parse_job_record(item.value), item.revision});
     note_known_ends(id);
     if (on_active)
         on_active(id, active_.at(id));
--- a/src/catalog/job_cache_reads.cpp
+++ b/src/catalog/job_cache_reads.cpp
@@ -24,16 +24,17 @@
     while (!stopping_) {
         if (!loaded_ || reload_) {
             if (!co_await load())
-                co_await net::sleep_for(c::state_retry);
+                co_await net::sleep_for(c::key_value_retry_delay);
             continue;
         }
         auto watched = co_await state_.watch(keys::jobs_prefix, revision_, c::watch_hold_ms,
                                              store::request_priority::placement);
         take_changes(watched);
         if (watched.outcome != store::watch_outcome::changes)
-            co_await net::sleep_for(c::state_retry);
+            co_await net::sleep_for(c::key_value_retry_delay);
         else
-            co_await net::sleep_for(prompt_ ? c::watch_gap : c::follower_watch_gap);
+            co_await net::sleep_for(prompt_ ? c::leader_watch_interval
+                                            : c::follower_watch_interval);
     }
 }
 
@@ -51,13 +52,13 @@
             co_await state_.watch(keys::jobs_prefix, revision_, 0, store::request_priority::accept);
         take_changes(watched);
         if (watched.outcome != store::watch_outcome::changes) {
-            co_await net::sleep_for(c::state_retry);
+            co_await net::sleep_for(c::key_value_retry_delay);
             continue;
         }
         fresh_at_ = sent_at;
         reads_done_ = serving;
         served_.notify();
-        co_await net::sleep_for(c::fence_gap);
+        co_await net::sleep_for(c::shared_read_interval);
     }
 }
 
@@ -85,7 +86,7 @@
 // --- records of jobs that ended ---
 
 awaitable<ended_lookup> job_cache::read_ended(std::string id) {
-    if (ended_reads_ >= c::ended_reads)
+    if (ended_reads_ >= c::max_concurrent_ended_reads)
         co_return ended_lookup{};
     ++ended_reads_;
     auto read = co_await state_.get(keys::ended_job(id), store::request_priority::done);
@@ -99,7 +100,7 @@
         return {lookup::absent, {}};
     }
     try {
-        auto record = wire::parse_ended(read.item.value);
+        auto record = wire::parse_ended_record(read.item.value);
         remember_ended(id, record);
         return {lookup::found, record};
     } catch (const wire::malformed_message &error) {
@@ -129,9 +130,9 @@
             if (stopping_ || graph_.end_of(predecessor))
                 continue;
             (void)co_await read_ended(predecessor);
-            co_await net::sleep_for(c::predecessor_read_gap);
+            co_await net::sleep_for(c::predecessor_read_interval);
         }
-        co_await net::sleep_for(c::predecessor_read_gap);
+        co_await net::sleep_for(c::predecessor_read_interval);
     }
 }
 
--- a/src/common/time.hpp
+++ b/src/common/time.hpp
@@ -12,7 +12,7 @@
 using time_point = std::chrono::time_point<std::chrono::steady_clock, seconds>;
 
 // A moment on the clock of day, as in records and messages. Clocks of two machines differ by at
-// most the settings' clock_bound each.
+// most the settings' max_clock_error each.
 using wall_time = std::chrono::time_point<std::chrono::system_clock, seconds>;
 
 // The time since something last happened is at least `gap`, or it never happened.
--- a/src/control/cloud_client.cpp
+++ b/src/control/cloud_client.cpp
@@ -12,13 +12,13 @@
 } // namespace
 
 cloud_client::cloud_client(net::asio::io_context &io, const settings::settings &settings)
-    : client_(io, settings.cloud, c::pool_idle),
-      budget_(c::cloud_share * settings.cloud_rps, c::cloud_burst) {}
+    : client_(io, settings.cloud_address, c::max_idle_connections_per_host),
+      budget_(c::cloud_rate_share * settings.cloud_rps, c::cloud_burst_duration) {}
 
 net::awaitable<net::reply> cloud_client::call(std::shared_ptr<leadership> by, std::string method,
                                               std::string target, std::string body) {
     while (!budget_.take(1, store::request_priority::leadership, net::steady_now()))
-        co_await net::sleep_for(c::budget_poll);
+        co_await net::sleep_for(c::rate_limit_poll_interval);
     // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
     // more: it would delete machines that the next one uses.
     if (!by->may_act())
@@ -26,7 +26,7 @@
     net::permission permitted = [by] { return by->may_act(); };
     auto reply = co_await client_.call(std::move(method), std::move(target), std::move(body),
                                        c::cloud_timeout, false, std::move(permitted));
-    if (reply.how == net::outcome::answered && reply.status == too_many_requests)
+    if (reply.outcome == net::call_outcome::answered && reply.status == too_many_requests)
         budget_.drain();
     co_return reply;
 }
--- a/src/control/cloud_duties.cpp
+++ b/src/control/cloud_duties.cpp
@@ -15,7 +15,7 @@
 
 // No machine was rented, and none will be for this request.
 bool refused(const net::reply &reply) {
-    if (reply.how != net::outcome::answered)
+    if (reply.outcome != net::call_outcome::answered)
         return false;
     bool no_capacity =
         reply.status == unavailable && reply.body.find("capacity") != std::string::npos;
@@ -25,21 +25,21 @@
 void tell_outcome(scheduler &core, const rental_request &wanted, const net::reply &reply) {
     try {
         if (reply.ok())
-            core.on_rented(wanted.request, wire::parse_rented_machines(reply.body), steady_now());
+            core.on_rented(wanted.id, wire::parse_rented_machines(reply.body), steady_now());
         else if (refused(reply))
-            core.on_rent_refused(wanted.request, steady_now());
+            core.on_rent_refused(wanted.id, steady_now());
         else
-            core.on_rent_unsure(wanted.request, steady_now());
+            core.on_rent_unsure(wanted.id, steady_now());
     } catch (const wire::malformed_message &error) {
         spdlog::warn("renting: {}", error.what());
-        core.on_rent_unsure(wanted.request, steady_now());
+        core.on_rent_unsure(wanted.id, steady_now());
     }
 }
 
 } // namespace
 
 awaitable<void> cloud_duties::watch(std::shared_ptr<leadership> by) {
-    auto next_types = steady_now() + c::types_refresh;
+    auto next_types = steady_now() + c::machine_types_refresh_interval;
     while (by->may_act()) {
         auto asked = steady_now();
         auto machines = co_await read_list(by);
@@ -48,10 +48,10 @@
             by->wake.notify();
         }
         if (steady_now() > next_types) {
-            next_types = steady_now() + c::types_refresh;
+            next_types = steady_now() + c::machine_types_refresh_interval;
             co_await refresh_types(by);
         }
-        co_await net::sleep_for(c::machine_list_poll);
+        co_await net::sleep_for(c::machine_list_poll_interval);
     }
 }
 
@@ -60,16 +60,16 @@
     std::vector<listed_machine> machines;
     std::string after;
     while (by->may_act()) {
-        auto target = wire::machine_list_target(after, c::listed_machine_page);
+        auto target = wire::machine_list_target(after, c::machine_list_page_size);
         auto reply = co_await cloud_.call(by, "GET", target, "");
         if (!reply.ok())
             co_return std::nullopt;
         try {
             auto page = wire::parse_machine_list(reply.body);
-            machines.insert(machines.end(), page.hosts.begin(), page.hosts.end());
-            if (!page.more || page.hosts.empty())
+            machines.insert(machines.end(), page.machines.begin(), page.machines.end());
+            if (!page.has_more || page.machines.empty())
                 co_return machines;
-            after = page.hosts.back().id;
+            after = page.machines.back().id;
         } catch (const wire::malformed_message &error) {
             spdlog::warn("machine list: {}", error.what());
             co_return std::nullopt;
@@ -107,7 +107,7 @@
     auto reply =
         co_await cloud_.call(by, "POST", wire::path_delete_machines, wire::encode_deletion(names));
     if (!reply.ok())
-        co_await net::sleep_for(c::delete_retry);
+        co_await net::sleep_for(c::deletion_retry_delay);
     auto *core = by->scheduler_unless_ended();
     if (!core)
         co_return;
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -42,7 +42,7 @@
 
 // The machine's own heartbeat in the answer to a direct command.
 std::optional<heartbeat> heartbeat_in(const net::reply &reply, const std::string &machine) {
-    bool answered = reply.how == net::outcome::answered;
+    bool answered = reply.outcome == net::call_outcome::answered;
     if (!answered || (reply.status != ok && reply.status != stale))
         return std::nullopt;
     try {
@@ -74,7 +74,7 @@
 void command_sender::close_idle(time_point now) {
     std::erase_if(clients_, [&](const auto &entry) {
         auto &client = entry.second;
-        return client.use_count() == 1 && now - client->used_at() > c::summary_gap;
+        return client.use_count() == 1 && now - client->last_used_at() > c::summary_interval;
     });
 }
 
@@ -135,7 +135,7 @@
     };
     auto body = wire::encode_direct_commands(what->token, what->incarnation, what->commands);
     auto reply = co_await client->call("POST", wire::path_commands, std::move(body),
-                                       c::worker_timeout, false, std::move(permitted));
+                                       c::command_timeout, false, std::move(permitted));
     // Guards against commands to a large fleet that use up the sockets its heartbeats need.
     if (clients_.size() > sockets_ && client.use_count() == 2)
         clients_.erase(what->address);
@@ -147,7 +147,7 @@
     if (!core)
         return;
     auto shown = heartbeat_in(reply, what.machine);
-    bool settled = shown || reply.how == net::outcome::not_sent;
+    bool settled = shown || reply.outcome == net::call_outcome::not_sent;
     if (what.starts && settled)
         core->command_resolved(what.machine);
     else if (what.starts)
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -41,16 +41,17 @@
     : with_(with), by_(std::move(by)),
       commands_(std::make_shared<command_sender>(with.io, by_, with.member, with.settings,
                                                  with.command_sockets)),
-      next_summary_(steady_now() + c::summary_gap) {}
+      next_summary_(steady_now() + c::summary_interval) {}
 
 awaitable<void> control_loop::run() {
     while (by_->may_act()) {
         auto now = steady_now();
         run_round(now);
         // Guards against rounds that follow one another while heartbeats wait for their answers.
-        auto pause = std::max(c::control_loop_pause, c::control_loop_rest * (steady_now() - now));
+        auto pause =
+            std::max(c::min_control_loop_pause, c::control_loop_rest_ratio * (steady_now() - now));
         co_await net::sleep_for(pause);
-        co_await by_->wake.wait_for(c::control_loop_idle);
+        co_await by_->wake.wait_for(c::max_control_loop_pause);
     }
     // Entitlement lapsed without a word: leave nothing running on old knowledge.
     if (!by_->ended() && !with_.member.leading())
@@ -65,7 +66,7 @@
     submit_writes(now);
     start_cloud_calls(now);
     commands_->send_urgent();
-    if (now - with_.jobs.fresh_at() > c::leader_fresh)
+    if (now - with_.jobs.fresh_at() > c::leader_max_read_age)
         with_.jobs.want_read();
     by_->forget_cancels_upto(with_.jobs.revision());
     if (now > next_summary_)
@@ -105,7 +106,7 @@
     // These look at every machine.
     if (now < next_look_)
         return;
-    next_look_ = now + c::check_gap;
+    next_look_ = now + c::machine_check_interval;
     if (auto names = core.take_deletions(now); !names.empty())
         net::spawn(with_.io, with_.cloud.delete_machines(by_, std::move(names)), "delete");
     if (core.wants_token_raise(now))
@@ -113,7 +114,7 @@
 }
 
 void control_loop::log_summary(time_point now) {
-    next_summary_ = now + c::summary_gap;
+    next_summary_ = now + c::summary_interval;
     commands_->close_idle(now);
     spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands",
                  by_->active_scheduler()->summary(), by_->placements.waiting(),
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 net::server_limits limits_with(std::size_t connections) {
-    return {connections, c::idle_connection, c::slow_request};
+    return {connections, c::idle_connection_timeout, c::server_request_timeout};
 }
 
 response wrong_method(const char *right) {
@@ -46,12 +46,13 @@
       heartbeats_(member_, settings_, [this] { return leadership_; }), cloud_(io, settings_),
       cloud_duties_(cloud_),
       api_(
-          io, settings_.api, [this](net::request received) { return on_api(std::move(received)); },
+          io, settings_.api_address,
+          [this](net::request received) { return on_api(std::move(received)); },
           limits_with(sockets_.api), "api"),
       back_(
-          io, settings_.back,
+          io, settings_.peer_address,
           [this](net::request received) { return on_peer(std::move(received)); },
-          limits_with(sockets_.back), "back") {
+          limits_with(sockets_.peers), "back") {
     connect_membership();
     connect_jobs();
 }
@@ -149,7 +150,7 @@
         auto answer = co_await heartbeats_.on_heartbeat(std::move(received.body));
         // Guards against workers that find no socket: beyond the bound each comes anew for its
         // heartbeat.
-        answer.close = answer.close || api_.crowded();
+        answer.close_connection = answer.close_connection || api_.is_crowded();
         co_return answer;
     }
     if (path == wire::path_ready) {
@@ -158,9 +159,9 @@
         co_return ready();
     }
     // Users are shed before workers, whose leases would run out.
-    if (api_.crowded()) {
+    if (api_.is_crowded()) {
         auto answer = unsure("too many connections");
-        answer.close = true;
+        answer.close_connection = true;
         co_return answer;
     }
     co_return co_await on_user_request(std::move(received), std::move(path));
@@ -168,7 +169,7 @@
 
 awaitable<response> controller::on_user_request(net::request received, std::string path) {
     const std::string jobs = wire::path_jobs;
-    const std::string suffix = std::string("/") + wire::suffix_cancel;
+    const std::string suffix = std::string("/") + wire::path_suffix_cancel;
     if (path == jobs) {
         if (received.method != "POST")
             co_return wrong_method("POST");
@@ -194,9 +195,9 @@
     if (received.method != "POST" || received.target != "/member")
         co_return error(404, "no such path");
     try {
-        auto message = wire::parse_peer(received.body);
+        auto message = wire::parse_peer_message(received.body);
         if (message.text("kind") == "progress")
-            co_return response{200, wire::encode_peer(progress_.answer()), 0, true};
+            co_return response{200, wire::encode_peer_message(progress_.answer()), 0, true};
         co_return response{200, member_.on_message(received.body), 0, true};
     } catch (const wire::malformed_message &malformed) {
         co_return error(400, malformed.what());
@@ -210,7 +211,7 @@
     // it nor any other controller can't tell, and is no better.
     if (membership::better_served_elsewhere(store_.silence(steady_now()),
                                             member_.state_served_elsewhere(),
-                                            member_.isolated_for(c::isolated_after)))
+                                            member_.isolated_for(c::isolation_timeout)))
         return unsure("no state service");
     return {200, "{}", 0, false};
 }
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -18,7 +18,7 @@
 void load_each(const wire::range_answer &records, store::committer &writer, std::string_view prefix,
                Load load, Unreadable unreadable) {
     for (const auto &record : records.items) {
-        writer.set_revision(record.key, record.version);
+        writer.set_revision(record.key, record.revision);
         try {
             load(record.key.substr(prefix.size()), record.value);
         } catch (const wire::malformed_message &error) {
@@ -55,7 +55,7 @@
     while (by_->may_act() && types_.empty()) {
         co_await read_stored_types();
         if (types_.empty())
-            co_await net::sleep_for(c::state_retry);
+            co_await net::sleep_for(c::key_value_retry_delay);
     }
 }
 
@@ -64,7 +64,7 @@
     if (!stored)
         co_return;
     if (stored->found) {
-        types_revision_ = stored->item.version;
+        types_revision_ = stored->item.revision;
         try {
             types_ = wire::parse_machine_types(stored->item.value);
         } catch (const wire::malformed_message &error) {
@@ -102,14 +102,14 @@
             records_.rentals =
                 co_await store_.list(store::keys::rentals_prefix, request_priority::leadership);
         if (!records_.complete())
-            co_await net::sleep_for(c::state_retry);
+            co_await net::sleep_for(c::key_value_retry_delay);
     }
 }
 
 awaitable<void> failover::read_jobs() {
     bool read = false;
     while (by_->may_act() && !read)
-        read = co_await jobs_.catch_up(c::failover_read);
+        read = co_await jobs_.catch_up(c::failover_read_timeout);
 }
 
 void failover::load(scheduler &into, time_point now) {
@@ -122,10 +122,10 @@
 
 void failover::load_records(scheduler &into, time_point now) {
     auto load_done = [&](const std::string &name, const std::string &value) {
-        into.load_done(name, wire::parse_done(value));
+        into.load_done(name, wire::parse_done_parts(value));
     };
     auto load_placements = [&](const std::string &name, const std::string &value) {
-        into.load_placed(name, wire::parse_placed(value), now);
+        into.load_placed(name, wire::parse_placements(value), now);
     };
     auto load_rentals = [&](const std::string &name, const std::string &value) {
         into.load_rental(name, wire::parse_rental_record(value), now);
--- a/src/control/heartbeat_service.cpp
+++ b/src/control/heartbeat_service.cpp
@@ -15,7 +15,8 @@
 // The answer within one line; commands that do not fit wait for the next heartbeat.
 std::string encode_within_line(std::uint64_t token, std::vector<command> commands) {
     auto text = wire::encode_heartbeat_answer(token, commands);
-    while (text.size() > c::line_limit - c::line_margin && commands.size() > 1) {
+    while (text.size() > c::max_heartbeat_answer_bytes - c::heartbeat_answer_header_margin &&
+           commands.size() > 1) {
         commands.resize(commands.size() / 2);
         text = wire::encode_heartbeat_answer(token, commands);
     }
@@ -35,9 +36,9 @@
     if (!member_.leading() || !by)
         co_return redirect();
     // A new leader that is still reading the records has an answer within moments.
-    auto limit = steady_now() + c::failover_wait;
+    auto limit = steady_now() + c::heartbeat_failover_timeout;
     while (!by->active_scheduler() && steady_now() < limit && by->may_act())
-        co_await net::sleep_for(c::failover_poll);
+        co_await net::sleep_for(c::failover_poll_interval);
     if (!by->active_scheduler() || !by->may_act())
         co_return redirect();
     try {
--- a/src/control/job_cancels.cpp
+++ b/src/control/job_cancels.cpp
@@ -29,8 +29,8 @@
         co_return error(404, "no such job");
     if (!jobs_.loaded() || writes_.full())
         co_return unsure("starting");
-    auto limit = steady_now() + c::user_request;
-    while (steady_now() < limit - c::cancel_round) {
+    auto limit = steady_now() + c::user_request_timeout;
+    while (steady_now() < limit - c::user_request_reserve) {
         auto found = co_await queries_.find(id);
         if (found.how == lookup::unavailable)
             break;
@@ -41,7 +41,7 @@
         const auto *active = jobs_.active(id);
         if (!active)
             continue;
-        auto time_limit = std::max(c::commit_least, limit - steady_now());
+        auto time_limit = std::max(c::min_commit_timeout, limit - steady_now());
         auto outcome = co_await write_cancel(id, *active, time_limit);
         if (outcome == store::write_outcome::committed)
             co_return accepted(id, job_state::cancelled);
--- a/src/control/job_queries.cpp
+++ b/src/control/job_queries.cpp
@@ -26,7 +26,7 @@
 // connection, so every question on it would fail while other nodes answer.
 response job_queries::store_unavailable() const {
     auto answer = unsure("the state service does not answer");
-    answer.close = store_.silence(steady_now()) > c::state_timeout;
+    answer.close_connection = store_.silence(steady_now()) > c::key_value_timeout;
     return answer;
 }
 
@@ -34,7 +34,7 @@
     // What has ended stays as it ended: no read is needed.
     if (auto ended = jobs_.ended(id))
         co_return ended_status(id, *ended);
-    if (!co_await jobs_.catch_up(c::shared_read))
+    if (!co_await jobs_.catch_up(c::job_query_read_timeout))
         co_return job_lookup{};
     if (!co_await jobs_.resolve_predecessors(id))
         co_return job_lookup{};
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -162,7 +162,8 @@
     change.priority = store::request_priority::accept;
     change.conditions = {{store::keys::active_job(id), 0}, {store::keys::ended_job(id), 0}};
     change.ops = {{store::keys::active_job(id), std::move(value), 0}};
-    auto outcome = co_await writes_.commit(std::move(change), c::user_request - c::cancel_round);
+    auto outcome = co_await writes_.commit(std::move(change),
+                                           c::user_request_timeout - c::user_request_reserve);
     if (outcome == store::write_outcome::committed) {
         auto state = record.cancelled ? job_state::cancelled : job_state::pending;
         co_return response{201, wire::encode_accepted(id, state), 0, false};
--- a/src/control/known_types.cpp
+++ b/src/control/known_types.cpp
@@ -22,7 +22,7 @@
             }
         }
         if (!types_)
-            co_await net::sleep_for(constants::types_retry);
+            co_await net::sleep_for(constants::machine_types_retry_delay);
     }
 }
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -33,7 +33,7 @@
 }
 
 void scheduler::load_unreadable_placements(time_point now) {
-    hold_until_ = now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
+    hold_until_ = now + settings_.lease_duration * (1 + c::max_clock_drift) + c::lease_slack;
 }
 
 void scheduler::loaded(time_point now) {
@@ -136,12 +136,12 @@
 void scheduler::tick(time_point now) {
     if (!ready_)
         return;
-    if (elapsed(last_check_, c::check_gap, now))
+    if (elapsed(last_check_, c::machine_check_interval, now))
         check(now);
-    bool wanted = state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now);
-    if (wanted || elapsed(last_plan_, c::plan_at_least, now))
+    bool wanted = state_.planning_wanted() && elapsed(last_plan_, c::min_planning_interval, now);
+    if (wanted || elapsed(last_plan_, c::max_planning_interval, now))
         plan(now);
-    if (elapsed(last_scaling_, c::rent_gap, now))
+    if (elapsed(last_scaling_, c::scaling_interval, now))
         scale(now);
 }
 
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -155,7 +155,7 @@
     // The outcome of a change that was handed out.
     void on_written(const durable_write &write, bool committed, time_point now);
     // Changes a second that the store allows.
-    void set_state_write_rps(double rps) { settings_.state_write_rps = rps; }
+    void set_state_write_rps(double rps) { settings_.key_value_write_rps = rps; }
 
     // Checks, plans and scales, each as often as it is due.
     void tick(time_point now);
--- a/src/control/task_progress.cpp
+++ b/src/control/task_progress.cpp
@@ -30,7 +30,7 @@
     auto leading = current_();
     if (leading && leading->active_scheduler())
         return leading->active_scheduler()->job_progress(job);
-    if (!asking_ && (!asked_at_ || steady_now() - *asked_at_ > c::progress_gap))
+    if (!asking_ && (!asked_at_ || steady_now() - *asked_at_ > c::progress_query_interval))
         net::spawn(io_, ask_leader(), "progress");
     auto found = known_.find(job);
     return found == known_.end() ? std::nullopt : std::optional(found->second);
@@ -53,7 +53,7 @@
     if (leader) {
         wire::peer_message question;
         question.texts["kind"] = "progress";
-        auto reply = co_await leader->call("POST", "/member", wire::encode_peer(question),
+        auto reply = co_await leader->call("POST", "/member", wire::encode_peer_message(question),
                                            c::peer_timeout, true);
         if (reply.ok())
             take_answer(reply.body);
@@ -64,7 +64,7 @@
 
 void task_progress::take_answer(const std::string &body) {
     try {
-        auto answer = wire::parse_peer(body);
+        auto answer = wire::parse_peer_message(body);
         if (!answer.number(leading_key))
             return;
         known_.clear();
--- a/src/dependencies/chain_inheritance.cpp
+++ b/src/dependencies/chain_inheritance.cpp
@@ -40,13 +40,13 @@
     seconds latest = own;
     for (const auto &objective : settings_.objectives)
         if (objective.job_class == job.spec.job_class)
-            latest = std::max(latest, own * objective.times);
+            latest = std::max(latest, own * objective.deadline_factor);
     return fairness::due_times{job.accepted_at + own, job.accepted_at + latest};
 }
 
 // From its readiness to its end: fetching the image, and running its tasks in waves.
 seconds chain_inheritance::duration(const catalog::job &job) const {
-    return constants::chain_stage + slowest_image_fetch(job.spec) +
+    return constants::chain_stage_latency + slowest_image_fetch(job.spec) +
            waves(job) * constants::chain_run_margin * state_.expected_run_time(job);
 }
 
--- a/src/dependencies/dependency_tracker.cpp
+++ b/src/dependencies/dependency_tracker.cpp
@@ -65,8 +65,8 @@
     // involved, each off by at most the bound.
     cancelled.cancelled_at = now;
     if (recorded_at)
-        cancelled.cancelled_at =
-            std::min(now, state_.term().clock.to_steady(*recorded_at) - 2 * settings_.clock_bound);
+        cancelled.cancelled_at = std::min(now, state_.term().clock.to_steady(*recorded_at) -
+                                                   2 * settings_.max_clock_error);
     withdraw_tasks(cancelled);
     apply(graph_.note_end(cancelled.spec.id, {job_state::cancelled, now}), now);
 }
--- a/src/fairness/team_order.cpp
+++ b/src/fairness/team_order.cpp
@@ -25,7 +25,7 @@
 std::vector<std::size_t> starved_jobs(const std::vector<waiting_job> &jobs) {
     std::vector<std::size_t> starved;
     for (std::size_t i = 0; i < jobs.size(); ++i)
-        if (!jobs[i].begun && jobs[i].waited > constants::starved_after)
+        if (!jobs[i].begun && jobs[i].waited > constants::starvation_threshold)
             starved.push_back(i);
     std::stable_sort(starved.begin(), starved.end(),
                      [&](auto left, auto right) { return jobs[left].waited > jobs[right].waited; });
@@ -37,7 +37,7 @@
                                            const std::vector<bool> &late) {
     std::optional<std::size_t> oldest;
     for (std::size_t i = 0; i < jobs.size(); ++i)
-        if (late[i] && jobs[i].waited > constants::aged_after &&
+        if (late[i] && jobs[i].waited > constants::aging_threshold &&
             (!oldest || jobs[i].waited > jobs[*oldest].waited))
             oldest = i;
     return oldest;
@@ -64,7 +64,7 @@
     for (auto job : starved)
         turns.push_back({job, 1});
     if (auto aged = oldest_aged_job(jobs, late)) {
-        double share = std::max(1.0, constants::aged_share * slots) - jobs[*aged].held;
+        double share = std::max(1.0, constants::aged_job_share * slots) - jobs[*aged].held;
         if (share >= 1)
             turns.push_back({*aged, static_cast<std::uint32_t>(share)});
     }
--- a/src/fairness/team_queues.cpp
+++ b/src/fairness/team_queues.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double tolerance = constants::amount_tolerance;
+constexpr double tolerance = constants::resource_tolerance;
 
 // A limit of 0 is none.
 bool permitted(double amount, double limit) {
--- a/src/fleet/array_demand.cpp
+++ b/src/fleet/array_demand.cpp
@@ -21,11 +21,11 @@
 // The order of the keys is that in which the kinds are planned for.
 std::string demand_key(const job_spec &spec) {
     std::string types;
-    if (spec.types)
-        for (const auto &type : *spec.types)
+    if (spec.machine_types)
+        for (const auto &type : *spec.machine_types)
             types += type + ",";
     return fmt::format("{:09.2f}|{}|{}|{}|{}|{}", descending_base - spec.cpus, spec.memory_gb,
-                       spec.gpus, types, spec.zone.value_or(""), spec.spot);
+                       spec.gpus, types, spec.zone.value_or(""), spec.may_use_spot);
 }
 
 unfinished_work unfinished_work_of(const catalog::job &job, const model::cluster_state &state,
--- a/src/fleet/machine_health.cpp
+++ b/src/fleet/machine_health.cpp
@@ -19,12 +19,12 @@
 // in a cut, and it counts as silent.
 bool never_came_up(const workers::machine &machine, seconds boot_age) {
     return !machine.up && machine.known_type && !machine.running_at &&
-           boot_age > c::boot_late * machine.type.boot_time + boot_margin;
+           boot_age > c::late_boot_ratio * machine.type.boot_time + boot_margin;
 }
 
 bool is_slow(const workers::machine &machine) {
-    return machine.up && machine.speed_samples >= c::slow_samples &&
-           machine.speed < c::slow_machine;
+    return machine.up && machine.speed_samples >= c::min_speed_samples &&
+           machine.speed < c::slow_machine_speed;
 }
 
 } // namespace
@@ -49,7 +49,7 @@
             ++tally->up;
             // Guards against deleting a large zone that is cut off, machine by machine: they fall
             // silent one after another, and when the first is, the others have been quiet already.
-            tally->quiet += silent_for(machine, now) > c::quiet_share * limit;
+            tally->quiet += silent_for(machine, now) > c::quiet_silence_share * limit;
         }
         // Nothing waits in the queue of a machine that may be dead.
         if (machine.silent && !machine.queue.empty())
@@ -68,7 +68,8 @@
                                                                 time_point now) const {
     // In a zone that is cut off, tasks go on until their leases end, and the machines are of use
     // again after the cut: deleting them at once would end work for nothing.
-    seconds patience = model::silence_limit(settings_) + settings_.lease_duration + c::cut_patience;
+    seconds patience =
+        model::silence_limit(settings_) + settings_.lease_duration + c::zone_cut_off_grace;
     if (machine.silent && (!in_doubt || silent_for(machine, now) > patience))
         return deletion_reason::silent;
     if (never_came_up(machine, model::boot_age(machine, state_.term(), settings_, now)))
@@ -79,7 +80,7 @@
     // this, since the machine never shows our token.
     if (machine.outbound_partition_since &&
         now - *machine.outbound_partition_since >
-            c::outbound_partition_leases * settings_.lease_duration)
+            c::outbound_partition_max_leases * settings_.lease_duration)
         return deletion_reason::outbound_partition;
     if (machine.quarantined && machine.attempts.empty())
         return deletion_reason::quarantined;
@@ -90,11 +91,11 @@
 
 void machine_health::check(time_point now) {
     auto survey = survey_silence(now);
-    bool all_in_doubt = survey.all.looks_cut_off(doubt_least_machines, c::silent_share);
+    bool all_in_doubt = survey.all.looks_cut_off(doubt_least_machines, c::fleet_cut_off_share);
     // After a cut the machines come back one after another.
     for (const auto &[zone, tally] : survey.zones)
-        if (tally.looks_cut_off(zone_doubt_least_machines, c::silent_zone_share))
-            zone_doubt_until_[zone] = now + c::cut_return;
+        if (tally.looks_cut_off(zone_doubt_least_machines, c::zone_cut_off_share))
+            zone_doubt_until_[zone] = now + c::zone_reconnect_grace;
     for (auto &[name, machine] : state_.machines()) {
         if (machine.deleting)
             continue;
--- a/src/fleet/machine_list.cpp
+++ b/src/fleet/machine_list.cpp
@@ -57,13 +57,13 @@
         if (!state.was_removed(each.id)) // else it is an old list
             take_over(state, each, now);
     }
-    auto described = asked_at - oldest_list_lags * settings.list_lag - list_age_margin;
+    auto described = asked_at - oldest_list_lags * settings.machine_list_lag - list_age_margin;
     for (const auto &name : find_gone(state, listed, described)) {
         spdlog::info("{}: no longer listed", name);
         state.remove_machine(name, now);
     }
-    state.forget_removed(removed_memory_leases * (settings.lease_duration + settings.list_lag),
-                         now);
+    state.forget_removed(
+        removed_memory_leases * (settings.lease_duration + settings.machine_list_lag), now);
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/offers.cpp
+++ b/src/fleet/offers.cpp
@@ -32,7 +32,8 @@
     // Guards against asking many times over for what is sold out: each request costs a call to the
     // cloud and a part of a record. One asks; more follow when it was filled.
     auto pending = pending_.find(offer);
-    return pending == pending_.end() || pending->second < constants::machines_per_request ||
+    return pending == pending_.end() ||
+           pending->second < constants::max_machines_per_rental_request ||
            !sold_out_.contains(offer);
 }
 
@@ -55,7 +56,8 @@
             if (!may_request({type.name, zone, spot}, now))
                 continue;
             // Boot time is paid for and waited for.
-            double price_per_slot = price / slots * (1 + type.boot_time / constants::rental_use);
+            double price_per_slot =
+                price / slots * (1 + type.boot_time / constants::expected_rental_duration);
             if (!best || price_per_slot < best->price_per_slot * cheaper_ratio)
                 best = planning::rental_offer{&type, zone, spot, slots, price_per_slot};
         }
@@ -76,11 +78,11 @@
     }
     if (spot <= 0 || on_demand <= 0)
         return 1;
-    return std::clamp(on_demand / spot, 1.0, constants::ordinary_patience);
+    return std::clamp(on_demand / spot, 1.0, constants::max_on_demand_wait_ratio);
 }
 
 void offer_catalog::note_refused(const offer_key &offer, time_point now) {
-    refused_until_[offer] = now + constants::refused_capacity;
+    refused_until_[offer] = now + constants::refused_offer_pause;
     sold_out_.insert(offer);
 }
 
--- a/src/fleet/rental_requests.cpp
+++ b/src/fleet/rental_requests.cpp
@@ -19,11 +19,11 @@
                            time_point now) {
     rounds_[round].written = true;
     for (const auto &request : record.requests) {
-        auto &rental = rentals_[request.request];
+        auto &rental = rentals_[request.id];
         rental.what = request;
         rental.round = round;
         rental.requested_at =
-            now - std::max(seconds{}, state_.term().clock.to_wall(now) - record.at);
+            now - std::max(seconds{}, state_.term().clock.to_wall(now) - record.requested_at);
         rental.durable = true;
     }
 }
@@ -41,7 +41,7 @@
         ++requests;
         bytes += wire::rental_bytes(rental.what);
         if (rental.requested_at == now && !rental.durable && asks_for(rental.what, offer) &&
-            rental.what.count + count <= constants::machines_per_request) {
+            rental.what.count + count <= constants::max_machines_per_rental_request) {
             rental.what.count += count;
             return;
         }
@@ -49,7 +49,7 @@
     auto name = fmt::format("r-{}-{}", state_.term().first_token, ++request_counter_);
     rental_request what{name, offer.type->name, offer.zone, offer.spot, count};
     bytes += wire::rental_bytes(what);
-    if (round_began_at_ != now || requests >= constants::rentals_per_record ||
+    if (round_began_at_ != now || requests >= constants::max_rentals_per_record ||
         bytes > record_bytes_) {
         round_began_at_ = now;
         round = round_name(++round_counter_);
@@ -85,7 +85,7 @@
         rental_record_change change{name, std::nullopt};
         if (!round.written) {
             auto &record = change.record.emplace();
-            record.at = state_.term().clock.to_wall(rentals.front()->requested_at);
+            record.requested_at = state_.term().clock.to_wall(rentals.front()->requested_at);
             for (const auto *rental : rentals)
                 record.requests.push_back(rental->what);
         } else if (std::count_if(rentals.begin(), rentals.end(),
@@ -167,7 +167,7 @@
     if (found == rentals_.end())
         return;
     found->second.asking = false;
-    found->second.next_try = now + constants::rental_retry;
+    found->second.next_try = now + constants::rental_retry_delay;
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -10,8 +10,8 @@
         bool has_work = !machine.attempts.empty() || !machine.queue.empty();
         if (!machine.up || machine.deleting || has_work || spare.contains(name))
             continue;
-        seconds keep =
-            std::max(constants::idle_least, constants::idle_boots * machine.type.boot_time);
+        seconds keep = std::max(constants::min_idle_retention,
+                                constants::idle_retention_boot_ratio * machine.type.boot_time);
         if (now - machine.idle_since > keep)
             state_.request_deletion(machine, to_text(deletion_reason::idle));
     }
@@ -20,7 +20,7 @@
 std::vector<std::string> scale_in::take_deletions(time_point now) {
     std::vector<std::string> names;
     for (auto &[name, machine] : state_.machines()) {
-        if (names.size() >= static_cast<std::size_t>(constants::deletes_per_request))
+        if (names.size() >= static_cast<std::size_t>(constants::max_machines_per_deletion))
             break;
         if (!machine.deleting || machine.delete_sent_at)
             continue;
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -13,7 +13,8 @@
 
 // The job's rules let it run on the machine, whatever else runs there.
 bool is_allowed_on(const bidder &machine, const job_spec &spec) {
-    return (!machine.spot || spec.spot) && planning::type_allowed(spec, machine.type->name) &&
+    return (!machine.spot || spec.may_use_spot) &&
+           planning::type_allowed(spec, machine.type->name) &&
            (!spec.zone || *spec.zone == machine.zone);
 }
 
@@ -46,7 +47,7 @@
 }
 
 bool scale_out::is_fleet_full(const planned_machines &planned) const {
-    return planned.size() >= static_cast<std::size_t>(settings_.ops.fleet_limit);
+    return planned.size() >= static_cast<std::size_t>(settings_.options.fleet_limit);
 }
 
 bidder &scale_out::rent(const planning::rental_offer &offer, planned_machines &planned,
@@ -94,7 +95,7 @@
     std::set<std::string> zones;
     for (const auto &type : state_.types())
         for (const auto &zone : type.zones)
-            if (!job.spec.spread || replicas[zone] < job.zone_cap())
+            if (!job.spec.spread_across_zones || replicas[zone] < job.zone_cap())
                 zones.insert(zone);
     return zones;
 }
@@ -107,7 +108,8 @@
     auto waiting = state_.failures().is_suspect(spec.id) ? 1 : job.waiting();
     for (std::uint32_t planned_replicas = 0; planned_replicas < waiting; ++planned_replicas) {
         auto room = std::find_if(planned.begin(), planned.end(), [&](const bidder &machine) {
-            bool zone_is_full = spec.spread && replicas[machine.zone] >= job.zone_cap();
+            bool zone_is_full =
+                spec.spread_across_zones && replicas[machine.zone] >= job.zone_cap();
             return !zone_is_full && has_room_for_replica(machine, spec);
         });
         if (room != planned.end()) {
@@ -127,7 +129,7 @@
 std::set<std::string> scale_out::plan_spare_capacity(planned_machines &planned, time_point now) {
     std::set<std::string> spare;
     for (const auto &[job_class, recent] : state_.recent_services())
-        if (now - recent.seen_at <= constants::service_class_memory)
+        if (now - recent.seen_at <= constants::service_class_retention)
             plan_spare_replicas(recent.spec, planned, spare, now);
     return spare;
 }
@@ -135,7 +137,7 @@
 void scale_out::plan_spare_replicas(const job_spec &spec, planned_machines &planned,
                                     std::set<std::string> &spare, time_point now) {
     std::map<std::string, int> spare_in; // by zone
-    for (int count = 0; count < settings_.ops.spare_replicas; ++count) {
+    for (int count = 0; count < settings_.options.spare_replicas; ++count) {
         auto *machine = find_spare_room(spec, planned, spare_in);
         if (machine) {
             machine->hold(spec, seconds{});
@@ -154,7 +156,7 @@
     // fewest array tasks are displaced.
     auto is_better = [&](const bidder &machine, const bidder &best) {
         int here = spare_in[machine.zone], there = spare_in[best.zone];
-        if (spec.spread && here != there)
+        if (spec.spread_across_zones && here != there)
             return here < there;
         return planning::displaced_slots(machine, spec, state_.latest_array()) <
                planning::displaced_slots(best, spec, state_.latest_array());
@@ -176,11 +178,11 @@
 void scale_out::plan_array_demand(const array_demand &demand, planned_machines &planned,
                                   time_point now) {
     const auto &spec = *demand.spec;
-    bool may_use_spot = spec.spot && settings_.ops.spot;
-    double needed = slots_within(demand, settings_.ops.drain_target);
+    bool may_use_spot = spec.may_use_spot && settings_.options.may_rent_spot;
+    double needed = slots_within(demand, settings_.options.drain_target);
     // Work that may use spot instances waits longer before on-demand ones are paid for: by as much
     // as they are dearer.
-    double may_wait = needed - slots_within(demand, settings_.ops.drain_target *
+    double may_wait = needed - slots_within(demand, settings_.options.drain_target *
                                                         offers_.on_demand_patience(spec));
     for (auto &machine : planned)
         if (is_allowed_on(machine, spec))
--- a/src/membership/cancel_exchange.cpp
+++ b/src/membership/cancel_exchange.cpp
@@ -76,9 +76,9 @@
     if (answer.loaded && missing_ <= question.revision && answer.upto == answer.newest) {
         known_until_ = std::max(known_until_, sent_at);
         if (answer.read_age)
-            durable_known_at_ =
-                std::max(durable_known_at_, sent_at - *answer.read_age * (1 + 2 * c::clock_drift) -
-                                                c::authority_margin);
+            durable_known_at_ = std::max(durable_known_at_,
+                                         sent_at - *answer.read_age * (1 + 2 * c::max_clock_drift) -
+                                             c::authority_margin);
     }
     return answer.entries;
 }
@@ -101,8 +101,8 @@
 bool may_renew(time_point now, time_point known_until, seconds lease_duration,
                seconds cancel_deadline) {
     auto allowed =
-        cancel_deadline - lease_duration * (1 + c::clock_drift) - c::cancel_delivery_margin;
-    return now - known_until < std::max(allowed, c::least_cancel_silence);
+        cancel_deadline - lease_duration * (1 + c::max_clock_drift) - c::cancel_delivery_margin;
+    return now - known_until < std::max(allowed, c::min_cancel_silence);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/election.cpp
+++ b/src/membership/election.cpp
@@ -11,7 +11,7 @@
 static seconds vote_blackout(std::size_t peers) {
     if (peers == 0)
         return seconds{0};
-    return c::vote_length * (1 + 2 * c::clock_drift) + c::authority_margin;
+    return c::leader_vote_duration * (1 + 2 * c::max_clock_drift) + c::authority_margin;
 }
 
 election::election(std::string node, std::string incarnation, const std::vector<std::string> &peers,
@@ -33,7 +33,7 @@
 std::string election::leader_hint(time_point now) const {
     if (leading(now))
         return node_;
-    if (!elapsed(requesting_leader_at_, c::vote_length, now))
+    if (!elapsed(requesting_leader_at_, c::leader_vote_duration, now))
         return requesting_leader_;
     return key_holder_ == node_ ? std::string() : key_holder_;
 }
@@ -80,7 +80,7 @@
 
 bool election::store_served_elsewhere(time_point now) const {
     for (auto &[name, report] : reports_)
-        if (report.store_serving && !elapsed(report.heard_at, c::peer_report_valid, now))
+        if (report.store_serving && !elapsed(report.heard_at, c::readiness_report_max_age, now))
             return true;
     return false;
 }
@@ -108,10 +108,10 @@
 bool election::start_campaign(time_point now) {
     authority_.clear();
     candidacy_ = fmt::format("{}#{}", incarnation_, ++campaigns_);
-    if (!votes_given_.grant(candidacy_, c::candidacy, now))
+    if (!votes_given_.grant(candidacy_, c::candidate_vote_duration, now))
         return false;
     state_ = election_state::candidate;
-    authority_.vote_granted(node_, now, c::candidacy);
+    authority_.vote_granted(node_, now, c::candidate_vote_duration);
     return true;
 }
 
@@ -124,9 +124,9 @@
     lease_ = key.lease;
     token_ = key.version;
     raises_ = 0;
-    authority_.lease_renewed(key.lease_sent_at, c::leader_lease);
-    votes_given_.grant(candidacy_, c::vote_length, now);
-    authority_.vote_granted(node_, now, c::vote_length);
+    authority_.lease_renewed(key.lease_sent_at, c::leader_lease_duration);
+    votes_given_.grant(candidacy_, c::leader_vote_duration, now);
+    authority_.vote_granted(node_, now, c::leader_vote_duration);
     state_ = election_state::leader;
     token_raise_requested_ = false;
     key_check_requested_ = false;
@@ -139,17 +139,17 @@
 bool election::take_renewal_due(time_point now) {
     if (now < next_renewal_)
         return false;
-    next_renewal_ = now + c::leader_renew;
+    next_renewal_ = now + c::leader_renew_interval;
     return true;
 }
 
 void election::renew_own_vote(time_point now) {
-    if (votes_given_.grant(candidacy_, c::vote_length, now))
-        authority_.vote_granted(node_, now, c::vote_length);
+    if (votes_given_.grant(candidacy_, c::leader_vote_duration, now))
+        authority_.vote_granted(node_, now, c::leader_vote_duration);
 }
 
 void election::on_lease_renewed(time_point sent_at) {
-    authority_.lease_renewed(sent_at, c::leader_lease);
+    authority_.lease_renewed(sent_at, c::leader_lease_duration);
 }
 
 bool election::another_is_better_placed(seconds store_silence, time_point now) const {
@@ -160,20 +160,20 @@
         // Guards against an outage without a leader: only a controller that the key-value store
         // answers can be elected, and its report must be fresh, for the store may by now be gone
         // for all.
-        if (!report.heard_at || now - *report.heard_at > c::peer_report_fresh ||
+        if (!report.heard_at || now - *report.heard_at > c::step_down_report_max_age ||
             !report.store_serving)
             continue;
         if (without_store)
             return true;
         if (without_heartbeats && report.heartbeat_age &&
-            *report.heartbeat_age < c::peer_heartbeat_recent)
+            *report.heartbeat_age < c::peer_heartbeat_max_age)
             return true;
     }
     return false;
 }
 
 void election::pause_campaigns(time_point now) {
-    no_campaign_until_ = now + c::step_down_pause;
+    no_campaign_until_ = now + c::step_down_campaign_pause;
 }
 
 bool election::step_down() {
--- a/src/membership/leader_key.cpp
+++ b/src/membership/leader_key.cpp
@@ -20,10 +20,10 @@
     if (!stored->found)
         co_return state;
     state.found = true;
-    state.version = stored->item.version;
+    state.version = stored->item.revision;
     state.lease = stored->item.lease;
     try {
-        state.node = wire::parse_leader(stored->item.value).node;
+        state.node = wire::parse_leader_record(stored->item.value).node;
     } catch (const wire::malformed_message &) {
         state.node.clear(); // somebody leads, but nobody can be sent there
     }
@@ -67,7 +67,7 @@
 awaitable<store::transaction_result> leader_key::write(std::uint64_t expected_version,
                                                        std::uint64_t lease, std::uint64_t raise,
                                                        net::permission permitted) {
-    auto value = wire::encode_leader({node_, incarnation_, raise});
+    auto value = wire::encode_leader_record({node_, incarnation_, raise});
     std::vector<txn_condition> conditions{{store::keys::leader, expected_version}};
     std::vector<txn_op> operations{{store::keys::leader, value, lease}};
     co_return co_await store_.commit(conditions, operations, request_priority::leadership,
--- a/src/membership/lease_votes.cpp
+++ b/src/membership/lease_votes.cpp
@@ -31,7 +31,7 @@
 // Both clocks may drift, and timers fire late; the votes of others are counted
 // shorter than they keep them.
 static time_point safe_end(time_point sent_at, seconds length) {
-    return sent_at + length * (1 - 2 * c::clock_drift) - c::authority_margin;
+    return sent_at + length * (1 - 2 * c::max_clock_drift) - c::authority_margin;
 }
 
 void authority::vote_granted(const std::string &by, time_point sent_at, seconds length) {
@@ -69,7 +69,7 @@
 }
 
 bool better_served_elsewhere(seconds store_silence, bool store_served_elsewhere, bool isolated) {
-    return store_silence > c::isolated_after && (store_served_elsewhere || isolated);
+    return store_silence > c::isolation_timeout && (store_served_elsewhere || isolated);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -15,7 +15,7 @@
 
 static std::vector<std::string> peer_names(const settings::settings &settings) {
     std::vector<std::string> names;
-    for (auto &peer : settings.members)
+    for (auto &peer : settings.peers)
         names.push_back(peer.name);
     return names;
 }
@@ -26,11 +26,12 @@
       incarnation_(fmt::format("{}#{:08x}", settings.node, random_())),
       election_(settings.node, incarnation_, peer_names(settings), steady_now()),
       leader_key_(store, settings.node, incarnation_),
-      cancels_(incarnation_, c::cancels_kept, c::cancels_per_answer), wake_(io) {
-    for (auto &peer : settings.members) {
+      cancels_(incarnation_, c::max_kept_cancels, c::max_cancels_per_answer), wake_(io) {
+    for (auto &peer : settings.peers) {
         auto link = std::make_unique<peer_link>();
         link->name = peer.name;
-        link->client = std::make_unique<net::client>(io, peer.back, c::pool_idle);
+        link->client =
+            std::make_unique<net::client>(io, peer.peer_address, c::max_idle_connections_per_host);
         peers_.push_back(std::move(link));
     }
 }
@@ -95,7 +96,7 @@
         if (!known_revision) {
             auto key = co_await leader_key_.read();
             if (!key) {
-                co_await wake_.wait_for(c::state_retry);
+                co_await wake_.wait_for(c::key_value_retry_delay);
                 continue;
             }
             election_.on_leader_key(key->node);
@@ -112,7 +113,7 @@
         else
             known_revision = std::max(*known_revision, change->revision);
         if (!change)
-            co_await wake_.wait_for(c::state_retry);
+            co_await wake_.wait_for(c::key_value_retry_delay);
     }
 }
 
@@ -120,13 +121,13 @@
 awaitable<bool> member::wait_before_campaign() {
     auto now = steady_now();
     if (!election_.may_campaign(now)) {
-        co_await wake_.wait_for(c::campaign_retry);
+        co_await wake_.wait_for(c::campaign_check_interval);
         co_return false;
     }
     // Spreads those who saw the same end; who voted for another waits longer.
     uniform_distribution jitter(0, c::candidacy_jitter.count());
     bool yields = election_.voted_for_another(now);
-    co_await net::sleep_for(yields ? seconds{c::candidacy_yield.count() + jitter(random_)}
+    co_await net::sleep_for(yields ? seconds{c::candidacy_yield_delay.count() + jitter(random_)}
                                    : seconds{jitter(random_)});
     co_return true;
 }
@@ -160,14 +161,14 @@
     auto now = steady_now();
     if (!election_.start_campaign(now))
         co_return false;
-    ask_all(requester_role::candidate, c::candidacy);
+    ask_all(requester_role::candidate, c::candidate_vote_duration);
     auto limit = now + c::peer_timeout;
     while (!election_.has_majority(steady_now()) && steady_now() < limit)
-        co_await wake_.wait_for(std::max(c::least_wait, limit - steady_now()));
+        co_await wake_.wait_for(std::max(c::min_wait, limit - steady_now()));
     if (election_.has_majority(steady_now()))
         co_return true;
     abandon_campaign();
-    uniform_distribution pause(c::campaign_pause_least.count(), c::campaign_pause_most.count());
+    uniform_distribution pause(c::min_campaign_pause.count(), c::max_campaign_pause.count());
     co_await net::sleep_for(seconds{pause(random_)});
     co_return false;
 }
@@ -175,7 +176,7 @@
 // Returns nothing if there is no lease to bind the key to; version 0: the key is not ours.
 awaitable<std::optional<acquired_leader_key>> member::acquire_leader_key() {
     auto lease_sent_at = steady_now();
-    auto lease = co_await store_.new_lease(c::leader_lease);
+    auto lease = co_await store_.new_lease(c::leader_lease_duration);
     if (!lease) {
         abandon_campaign();
         co_return std::nullopt;
@@ -203,11 +204,12 @@
         }
         if (!do_leader_duties(now))
             break;
-        co_await wake_.wait_for(std::max(
-            c::least_wait, std::min(election_.next_renewal() - steady_now(), c::leader_poll)));
+        co_await wake_.wait_for(
+            std::max(c::min_wait,
+                     std::min(election_.next_renewal() - steady_now(), c::leader_poll_interval)));
     }
     close_leadership();
-    co_await net::sleep_for(c::follow_pause);
+    co_await net::sleep_for(c::leader_key_check_delay);
 }
 
 // One round. Requests to others run on their own, so that no one that hangs holds up the rest.
@@ -216,7 +218,7 @@
     if (election_.take_renewal_due(now)) {
         net::spawn(io_, renew_lease(), "renew");
         election_.renew_own_vote(now);
-        ask_all(requester_role::leader, c::vote_length);
+        ask_all(requester_role::leader, c::leader_vote_duration);
     }
     if (election_.another_is_better_placed(store_.silence(now), now)) {
         election_.pause_campaigns(now);
--- a/src/membership/member_messages.cpp
+++ b/src/membership/member_messages.cpp
@@ -20,7 +20,7 @@
 // --- requests of others ---
 
 std::string member::on_message(const std::string &body) {
-    auto request = decode_request(wire::parse_peer(body));
+    auto request = decode_request(wire::parse_peer_message(body));
     auto now = steady_now();
     vote_answer answer;
     answer.granted = election_.on_request(request, now);
@@ -30,14 +30,15 @@
                       election_.vote_holder(now));
     // A leader without the key-value store, or its workers, asks whether another could be elected:
     // this controller must know by the next request whether the key-value store answers it.
-    if (request.wants_store_check.value_or(false) && now - records().fresh_at > c::leader_renew)
+    if (request.wants_store_check.value_or(false) &&
+        now - records().fresh_at > c::leader_renew_interval)
         want_read();
     answer.store_serving = store_.serving(now);
     answer.heartbeat_age = election_.heartbeat_age(now);
     if (request.cancels)
         answer.cancels = answer_cancels(*request.cancels, now);
     answer.vote_holder = election_.vote_holder(now);
-    return wire::encode_peer(encode(answer));
+    return wire::encode_peer_message(encode(answer));
 }
 
 cancel_answer member::answer_cancels(const cancel_question &question, time_point now) {
@@ -65,7 +66,7 @@
     net::permission permitted = [this, request] {
         return election_.is_current(request, steady_now());
     };
-    auto body = wire::encode_peer(encode(request));
+    auto body = wire::encode_peer_message(encode(request));
     auto reply = co_await link.client->call("POST", peer_path, std::move(body), c::peer_timeout,
                                             true, std::move(permitted));
     link.asking = false;
@@ -101,7 +102,7 @@
 // Throws wire::malformed_message; what was taken before stays.
 void member::take_answer(peer_link &link, const peer_request &request, const std::string &body,
                          time_point sent_at) {
-    auto message = wire::parse_peer(body);
+    auto message = wire::parse_peer_message(body);
     auto answer = decode_vote_answer(message);
     election_.on_answer(link.name, answer, steady_now());
     if (answer.granted.value_or(false))
@@ -128,7 +129,7 @@
     request.kind = request_kind::release;
     request.from = settings_.node;
     request.candidacy = election_.candidacy();
-    auto body = wire::encode_peer(encode(request));
+    auto body = wire::encode_peer_message(encode(request));
     // Without captures: the coroutines outlive this function and its lambda.
     auto send = [](net::client &client, std::string message) -> awaitable<void> {
         co_await client.call("POST", peer_path, std::move(message), c::peer_timeout, true);
--- a/src/model/boot_age.cpp
+++ b/src/model/boot_age.cpp
@@ -5,7 +5,8 @@
 namespace spindlecroft::model {
 
 seconds silence_limit(const settings::settings &settings) {
-    return constants::silent_heartbeats * settings.heartbeat_interval + constants::silent_margin;
+    return constants::silence_heartbeat_intervals * settings.heartbeat_interval +
+           constants::silence_margin;
 }
 
 // Guards against deleting the whole fleet as never up, right after a failover.
--- a/src/model/cluster_state.cpp
+++ b/src/model/cluster_state.cpp
@@ -111,7 +111,7 @@
     made.idle_since = now;
     // Whoever answered it before us, did so before our authority began.
     made.lease_bound = std::max(term_.began, now) +
-                       settings_.lease_duration * (1 + constants::clock_drift) +
+                       settings_.lease_duration * (1 + constants::max_clock_drift) +
                        constants::lease_slack;
     request_planning();
     return made;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -23,9 +23,9 @@
 struct response {
     int status = 200;
     std::string body;
-    int retry_after_s = 0; // 0: header left out
-    bool cbor = false;     // the body is CBOR, not JSON
-    bool close = false;    // the connection ends with this answer
+    int retry_after_s = 0;         // 0: header left out
+    bool is_cbor = false;          // the body is CBOR, not JSON
+    bool close_connection = false; // the connection ends with this answer
 };
 
 /// Answers one request. What it throws is logged, and answered with 503.
@@ -48,10 +48,10 @@
     /// Takes no more connections; open ones end with their present request.
     void stop();
     /// Connections that are open.
-    [[nodiscard]] std::size_t open() const { return *open_; }
+    [[nodiscard]] std::size_t open_connections() const { return *open_; }
     /// So many connections are open that none should be kept without need.
-    [[nodiscard]] bool crowded() const { return crowded(*open_, limits_); }
-    [[nodiscard]] static bool crowded(std::size_t open, const server_limits &limits);
+    [[nodiscard]] bool is_crowded() const { return is_crowded(*open_, limits_); }
+    [[nodiscard]] static bool is_crowded(std::size_t open, const server_limits &limits);
 
   private:
     awaitable<void> accept_loop();
@@ -68,7 +68,7 @@
 };
 
 /// What is known of a request after the call.
-enum class outcome {
+enum class call_outcome {
     answered, // a response came
     not_sent, // surely never received by the other side
     unknown   // may have been executed, or may yet be
@@ -76,10 +76,10 @@
 
 /// The result of a call. Status and body are set only if it was answered.
 struct reply {
-    outcome how = outcome::not_sent;
+    call_outcome outcome = call_outcome::not_sent;
     int status = 0;
     std::string body;
-    [[nodiscard]] bool ok() const { return how == outcome::answered && status == 200; }
+    [[nodiscard]] bool ok() const { return outcome == call_outcome::answered && status == 200; }
 };
 
 /// Whether a request may still be sent. Asked right before its first byte goes out, after the
@@ -102,7 +102,7 @@
     awaitable<reply> call(std::string method, std::string target, std::string body, seconds timeout,
                           bool cbor = false, permission permitted = {});
     /// When it was last called.
-    [[nodiscard]] time_point used_at() const { return used_at_; }
+    [[nodiscard]] time_point last_used_at() const { return used_at_; }
 
   private:
     struct connection;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -27,15 +27,15 @@
     return message;
 }
 
-reply reply_without_answer(outcome how) {
+reply reply_without_answer(call_outcome outcome) {
     reply result;
-    result.how = how;
+    result.outcome = outcome;
     return result;
 }
 
 reply reply_of(response_parser &parser) {
     reply result;
-    result.how = outcome::answered;
+    result.outcome = call_outcome::answered;
     result.status = static_cast<int>(parser.get().result_int());
     result.body = std::move(parser.get().body());
     return result;
@@ -76,15 +76,15 @@
         if (!open)
             open = co_await connect(deadline);
         if (!open)
-            co_return reply_without_answer(outcome::not_sent);
+            co_return reply_without_answer(call_outcome::not_sent);
         auto message = message_of(to_.host, method, target, body, cbor);
         // Guards against a process that stood still while it connected and acts on old knowledge.
         if (permitted && !permitted()) {
             keep_idle(std::move(open));
-            co_return reply_without_answer(outcome::not_sent);
+            co_return reply_without_answer(call_outcome::not_sent);
         }
         response_parser parser;
-        parser.body_limit(constants::answer_limit);
+        parser.body_limit(constants::max_response_body_bytes);
         auto ec = co_await open->exchange(message, parser, deadline);
         if (!ec) {
             bool keep = parser.get().keep_alive();
@@ -98,7 +98,7 @@
                      std::chrono::steady_clock::now() < deadline;
         open.reset();
         if (!stale)
-            co_return reply_without_answer(outcome::unknown);
+            co_return reply_without_answer(call_outcome::unknown);
         reused = false;
     }
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -70,7 +70,7 @@
 http::response<http::string_body> message_of(response &answer, bool keep) {
     http::response<http::string_body> message(static_cast<http::status>(answer.status),
                                               http_version);
-    message.set(http::field::content_type, content_type(answer.cbor));
+    message.set(http::field::content_type, content_type(answer.is_cbor));
     if (answer.retry_after_s > 0)
         message.set(http::field::retry_after, std::to_string(answer.retry_after_s));
     message.keep_alive(keep);
@@ -91,9 +91,9 @@
     acceptor_.listen();
 }
 
-bool server::crowded(std::size_t open, const server_limits &limits) {
+bool server::is_crowded(std::size_t open, const server_limits &limits) {
     return static_cast<double>(open) >
-           constants::crowded_share * static_cast<double>(limits.connections);
+           constants::crowded_connection_share * static_cast<double>(limits.connections);
 }
 
 void server::start() {
@@ -115,7 +115,7 @@
             co_return;
         if (ec) {
             // Out of sockets: let some close rather than spin.
-            co_await sleep_for(constants::accept_retry);
+            co_await sleep_for(constants::accept_retry_delay);
             continue;
         }
         // Shed what is beyond the bound, so that workers and peers keep their sockets.
@@ -136,8 +136,8 @@
     auto header_timeout = limits_.request_timeout;
     while (!stopping_) {
         request_parser parser;
-        parser.body_limit(constants::body_limit);
-        parser.header_limit(constants::header_limit);
+        parser.body_limit(constants::max_request_body_bytes);
+        parser.header_limit(constants::max_request_header_bytes);
         auto received = co_await receive_header(stream, buffer, parser, header_timeout);
         header_timeout = limits_.idle_timeout; // between requests
         if (received == receipt::whole)
@@ -154,7 +154,7 @@
         } else {
             answer = {413, R"({"error":"body over 64 KiB"})", 0, false};
         }
-        keep = keep && !answer.close;
+        keep = keep && !answer.close_connection;
         auto message = message_of(answer, keep);
         stream.expires_after(timer_ticks(limits_.request_timeout));
         co_await http::async_write(stream, message, asio::redirect_error(asio::use_awaitable, ec));
--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -26,17 +26,17 @@
         return {};
     // Work of the lowest priority makes room where waiting for it would take longer.
     bool waits = machine.boot_time <= seconds{} && !machine.free.fits(spec) &&
-                 machine.work > c::preempt_cost * machine.whole.slots(spec);
+                 machine.work > c::preemption_cost * machine.whole.slots(spec);
     return {true, waits && spec.priority != priority_class::low && machine.above_idle.fits(spec)};
 }
 
 // The machine's queue is full, by time or by number.
 bool queue_too_long(const bidder &machine, seconds queue_time) {
-    if (queue_time > c::queue_limit)
+    if (queue_time > c::max_queue_time)
         return true;
     // Guards against a leader that is busy with bids alone: the tasks of a large sweep fill every
     // queue by the thousand, and all of them are bid again each second.
-    return queue_time > machine.boot_time && machine.m->queue.size() >= c::queue_tasks;
+    return queue_time > machine.boot_time && machine.m->queue.size() >= c::max_queued_tasks;
 }
 
 } // namespace
@@ -64,7 +64,8 @@
     request asked{job, allowed, expected, some_failed, now};
     // Where tasks of services and of jobs with zone rules may be changes with each of them, and a
     // bid may fall when another task takes resources: such bids are not kept.
-    bool bids_may_fall = spec.shape == job_shape::service || spec.same_zone || spec.spread;
+    bool bids_may_fall =
+        spec.shape == job_shape::service || spec.same_zone || spec.spread_across_zones;
     auto best = bids_may_fall ? ask_all(asked) : ask_kept(asked);
     if (!best && !some_failed)
         unmet_.insert(std::move(needed));
@@ -97,7 +98,7 @@
     round_bid bid{&machine, offer.finish_time(), preempting ? seconds{} : offer.queue_time,
                   machine.version};
     if (preempting)
-        bid.finish_time += c::preempt_cost;
+        bid.finish_time += c::preemption_cost;
     // Between equals, a replica goes where it spoils least room for work that comes and goes.
     if (spec.shape == job_shape::service)
         bid.finish_time +=
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -16,7 +16,7 @@
 constexpr double overdue_estimate_share = 0.2; // of its estimate, left of a task past it
 
 bool is_slow(const workers::machine &machine) {
-    return machine.speed_samples >= c::slow_samples && machine.speed < c::slow_machine;
+    return machine.speed_samples >= c::min_speed_samples && machine.speed < c::slow_machine_speed;
 }
 
 } // namespace
@@ -28,7 +28,7 @@
     if (machine.up)
         return seconds{};
     seconds age = model::boot_age(machine, state_.term(), settings_, now);
-    if (age > c::boot_hedge * machine.type.boot_time)
+    if (age > c::boot_hedge_ratio * machine.type.boot_time)
         return {}; // late: nothing is promised in its name
     return std::max(least_boot_time, machine.type.boot_time * boot_time_margin - age);
 }
@@ -55,7 +55,7 @@
         entry.m = &machine;
         entry.boot_time = *boot_time;
         // What nothing has changed on only grows older; that need not be exact.
-        if (machine.changed || !entry.refreshed_at || now - *entry.refreshed_at > c::bidder_age)
+        if (machine.changed || !entry.refreshed_at || now - *entry.refreshed_at > c::max_bidder_age)
             refresh(entry, now);
         bidding.push_back(&entry);
     }
--- a/src/planning/placement_rules.cpp
+++ b/src/planning/placement_rules.cpp
@@ -30,7 +30,7 @@
 
 zone_count count_zones(const model::cluster_state &state, const catalog::job &job) {
     zone_count zones;
-    if (!job.spec.spread && !job.spec.same_zone)
+    if (!job.spec.spread_across_zones && !job.spec.same_zone)
         return zones;
     for (const auto &[index, attempt] : job.live)
         if (attempt.phase != catalog::attempt_phase::exited)
@@ -42,21 +42,21 @@
 
 bool class_allowed(const job_spec &spec, const model::machine_class &kind) {
     return type_allowed(spec, kind.type) && (!spec.zone || *spec.zone == kind.zone) &&
-           (!kind.spot || spec.spot);
+           (!kind.spot || spec.may_use_spot);
 }
 
 bool zone_allowed(const catalog::job &job, const zone_count &zones, const std::string &zone) {
     auto known = zones.in(zone);
     if (job.spec.same_zone && known != zones.all)
         return false;
-    return !job.spec.spread || known + zones.unknown < job.zone_cap();
+    return !job.spec.spread_across_zones || known + zones.unknown < job.zone_cap();
 }
 
 } // namespace
 
 bool type_allowed(const job_spec &spec, const std::string &type) {
-    return !spec.types ||
-           std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
+    return !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                            type) != spec.machine_types->end();
 }
 
 allowed_classes allowed_classes_for(const model::cluster_state &state, const catalog::job &job) {
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -33,7 +33,7 @@
 // again. Bidding again only as many as the idle machines hold left replicas in the queues of
 // machines that boot late, and queues out of their team's order.
 void round_planner::rebid_queued(time_point now) {
-    if (!elapsed(last_rebid_, c::idle_rebid, now) || !idle_while_tasks_wait())
+    if (!elapsed(last_rebid_, c::min_rebid_interval, now) || !idle_while_tasks_wait())
         return;
     last_rebid_ = now;
     for (auto &[name, machine] : state_.machines())
@@ -66,7 +66,7 @@
                           time_point now) {
     auto teams = waiting_turns(priority, round, now);
     while (!teams.empty()) {
-        if (++turns_taken > c::bids_per_round) {
+        if (++turns_taken > c::max_bids_per_round) {
             state_.request_planning();
             return;
         }
@@ -124,7 +124,7 @@
     if (!job.pop_waiting(index))
         return false;
     auto &winner = *where->machine;
-    seconds estimate = state_.expected_run_time(job) / std::max(winner.m->speed, c::speed_floor);
+    seconds estimate = state_.expected_run_time(job) / std::max(winner.m->speed, c::min_speed);
     join_queue(*where, job, index, estimate);
     round.task_queued(winner, job, estimate);
     quota_.task_queued(job.spec);
@@ -134,7 +134,7 @@
 std::optional<round_planner::placement>
 round_planner::choose_machine(const catalog::job &job, bid_round &round, time_point now) {
     auto best = round.best_bid(job, now);
-    bool waits_too_long = !best || best->queue_time > c::guarantee_wait;
+    bool waits_too_long = !best || best->queue_time > c::max_guarantee_wait;
     // A team's guaranteed work finds no free machine soon: others make way.
     if (waits_too_long && job.guaranteed && quota_.teams().within_guarantee(job.spec))
         if (auto *machine = preemption_.preempt_for_guarantee(job, round.bidders(), now))
--- a/src/planning/service_order.cpp
+++ b/src/planning/service_order.cpp
@@ -53,13 +53,13 @@
     for (const auto &objective : settings.objectives) {
         if (objective.job_class != job.spec.job_class)
             continue;
-        due.add_deadline(deadline * objective.times);
-        if (objective.within > seconds{})
-            due.add_since_ready(objective.kind == "wait" ? objective.within + expected
-                                                         : objective.within);
+        due.add_deadline(deadline * objective.deadline_factor);
+        if (objective.time_limit > seconds{})
+            due.add_since_ready(objective.kind == "wait" ? objective.time_limit + expected
+                                                         : objective.time_limit);
     }
     if (due.empty())
-        due.add_since_ready(c::default_due);
+        due.add_since_ready(c::default_due_time);
     return std::move(due).sorted();
 }
 
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -87,7 +87,7 @@
 }
 
 bool command_composer::wants_token_raise(time_point now) {
-    if (!elapsed(last_token_raise_, constants::token_bump, now))
+    if (!elapsed(last_token_raise_, constants::min_token_raise_interval, now))
         return false;
     const auto &machines = state_.machines();
     bool wanted = std::any_of(machines.begin(), machines.end(), [&](const auto &entry) {
@@ -110,7 +110,8 @@
     if (through == channel::answer && !composed.starts.empty()) {
         machine.answer_incarnation = machine.incarnation;
         machine.answer_sequence = machine.sequence;
-        machine.answer_until = now + constants::worker_patience * (1 + constants::clock_drift) +
+        machine.answer_until = now +
+                               constants::worker_answer_timeout * (1 + constants::max_clock_drift) +
                                constants::lease_slack;
     }
     auto &commands = composed.commands;
--- a/src/reconciliation/heartbeat_reconciler.cpp
+++ b/src/reconciliation/heartbeat_reconciler.cpp
@@ -14,7 +14,7 @@
         return heartbeat_age::dead;
     auto &machine = state_.ensure_machine(received.machine, now);
     state_.describe_machine(machine, received.type, received.zone, received.spot, received.address);
-    if (machine.heard_at && !received.newer_than(machine.incarnation, machine.sequence))
+    if (machine.heard_at && !received.is_newer_than(machine.incarnation, machine.sequence))
         return received.incarnation == machine.incarnation ? heartbeat_age::stale
                                                            : heartbeat_age::dead;
     bool new_incarnation = note_message(machine, received, origin, now);
@@ -57,7 +57,7 @@
     // Guards against running a task twice: the reply to a direct command may overtake an answer
     // that carries a start, and then does not show a task that the answer will yet begin. Only the
     // worker's next heartbeat of its own comes after that answer.
-    if (own && received.newer_than(machine.answer_incarnation, machine.answer_sequence))
+    if (own && received.is_newer_than(machine.answer_incarnation, machine.answer_sequence))
         machine.answer_until.reset();
     machine.incarnation = received.incarnation;
     machine.sequence = received.sequence;
--- a/src/reconciliation/partition_detector.cpp
+++ b/src/reconciliation/partition_detector.cpp
@@ -81,7 +81,7 @@
 bool partition_detector::is_partitioned(const workers::machine &machine, bool new_incarnation,
                                         time_point now) const {
     bool answers_ignored = machine.ignored_heartbeats >= constants::outbound_partition_heartbeats &&
-                           now - *machine.ignored_at > constants::worker_patience;
+                           now - *machine.ignored_at > constants::worker_answer_timeout;
     bool answered_incarnation_ended =
         new_incarnation && machine.answered_at &&
         now - *machine.answered_at <
@@ -90,7 +90,7 @@
 }
 
 seconds partition_detector::longest_round() const {
-    return constants::worker_patience + timer_margin +
+    return constants::worker_answer_timeout + timer_margin +
            interval_stretch * settings_.heartbeat_interval;
 }
 
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -148,14 +148,14 @@
     case exit_cause::error:
         failures_.attempt_failed(machine, job, attempt, now);
         break;
-    case exit_cause::no_room:
+    case exit_cause::insufficient_resources:
     case exit_cause::busy:
-        machine.refused_until = now + constants::refused_pause;
+        machine.refused_until = now + constants::refused_start_pause;
         state_.clear_queue(machine);
         break;
-    case exit_cause::unknown:
+    case exit_cause::unknown_image:
         // The job's user may not have uploaded its image yet.
-        job.backoff_until = now + constants::refused_pause;
+        job.backoff_until = now + constants::refused_start_pause;
         break;
     case exit_cause::stopped:
     case exit_cause::none:
@@ -181,13 +181,13 @@
 }
 
 void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job, seconds ran) {
-    seconds normal = ran * std::max(machine.speed, constants::speed_floor);
+    seconds normal = ran * std::max(machine.speed, constants::min_speed);
     // Compared with the job's other tasks, since estimates err a job at a time.
     if (job.took_count >= speed_reference_tasks) {
         seconds mean = job.took_sum / job.took_count;
         double sample = std::clamp(mean / ran, least_speed_sample, most_speed_sample);
-        machine.speed =
-            (1 - constants::speed_gain) * machine.speed + constants::speed_gain * sample;
+        machine.speed = (1 - constants::speed_sample_weight) * machine.speed +
+                        constants::speed_sample_weight * sample;
         ++machine.speed_samples;
     }
     job.took_sum += normal;
--- a/src/records/done_records.cpp
+++ b/src/records/done_records.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 std::size_t first_task_of(std::uint32_t part) {
-    return part * constants::part_done;
+    return part * constants::tasks_per_done_part;
 }
 
 // One past the last task of the part.
 std::size_t end_of_part(const catalog::job &job, std::uint32_t part) {
-    return std::min<std::size_t>(job.spec.tasks, first_task_of(part) + constants::part_done);
+    return std::min<std::size_t>(job.spec.tasks,
+                                 first_task_of(part) + constants::tasks_per_done_part);
 }
 
 } // namespace
@@ -37,7 +38,7 @@
     if (!job)
         return;
     into.parts.insert({part.job, part.part});
-    into.bytes += wire::done_bytes(part.job, part.bits.size());
+    into.bytes += wire::done_part_bytes(part.job, part.bits.size());
     job->done_in[part.part] = name;
     for (std::size_t offset = 0; offset < part.bits.size(); ++offset) {
         auto index = first_task_of(part.part) + offset;
@@ -56,7 +57,7 @@
 // written any more: it stays as it is until its jobs have ended, and what is new of a part goes
 // into another record. A part in two records is done where either says so.
 void done_records::note_done(catalog::job &job, std::uint32_t index, time_point now) {
-    auto part = static_cast<std::uint32_t>(index / constants::part_done);
+    auto part = static_cast<std::uint32_t>(index / constants::tasks_per_done_part);
     auto &name = job.done_in[part];
     if (name.empty() || records_[name].takes == capacity::too_large)
         name = place(job, part);
@@ -67,7 +68,7 @@
 
 std::string done_records::place(const catalog::job &job, std::uint32_t part) {
     auto tasks = end_of_part(job, part) - first_task_of(part);
-    auto bytes = wire::done_bytes(job.spec.id, tasks);
+    auto bytes = wire::done_part_bytes(job.spec.id, tasks);
     auto name = open_record(bytes);
     auto &open = records_[name];
     open.bytes += bytes;
@@ -108,7 +109,8 @@
 std::vector<done_records::due_record> done_records::due_records(time_point now) const {
     std::vector<due_record> due;
     for (const auto &[name, kept] : records_)
-        if (kept.dirty_since && !kept.writing && now - *kept.dirty_since >= constants::done_gap)
+        if (kept.dirty_since && !kept.writing &&
+            now - *kept.dirty_since >= constants::done_record_delay)
             due.push_back({*kept.dirty_since, name});
     std::sort(due.begin(), due.end());
     return due;
@@ -133,7 +135,7 @@
     }
     if (write.done.empty())
         return std::nullopt;
-    write.ops.push_back({store::keys::done_tasks(name), wire::encode_done(parts), 0});
+    write.ops.push_back({store::keys::done_tasks(name), wire::encode_done_parts(parts), 0});
     return write;
 }
 
@@ -151,7 +153,8 @@
     if (auto found = records_.find(write.record); found != records_.end()) {
         found->second.writing = false;
         if (!ok) // due again after a pause
-            found->second.dirty_since = now + constants::state_retry - constants::done_gap;
+            found->second.dirty_since =
+                now + constants::key_value_retry_delay - constants::done_record_delay;
     }
     if (!ok)
         return;
--- a/src/records/job_ends.cpp
+++ b/src/records/job_ends.cpp
@@ -42,8 +42,9 @@
     wire::ended_record ended;
     ended.state = job.cancelled ? job_state::cancelled : job_state::done;
     ended.done = job.done_seen;
-    ended.at = state_.term().clock.to_wall(now); // from then on those that wait for it are ready
-    write.ops.push_back({store::keys::ended_job(write.job), wire::encode_ended(ended), 0});
+    ended.ended_at =
+        state_.term().clock.to_wall(now); // from then on those that wait for it are ready
+    write.ops.push_back({store::keys::ended_job(write.job), wire::encode_ended_record(ended), 0});
     return write;
 }
 
@@ -55,14 +56,14 @@
     if (!ok) {
         // A cancel came first; the watch will tell.
         job->end_writing = false;
-        job->write_after = now + constants::state_retry;
+        job->write_after = now + constants::key_value_retry_delay;
         return std::nullopt;
     }
     while (!job->live.empty())
         state_.release_attempt(*job, job->live.begin()->first, false);
     state_.remove_job(write.job);
-    auto ended = wire::parse_ended(write.ops.back().value);
-    return catalog::wall_predecessor_end{ended.state, ended.at};
+    auto ended = wire::parse_ended_record(write.ops.back().value);
+    return catalog::wall_predecessor_end{ended.state, ended.ended_at};
 }
 
 } // namespace spindlecroft::records
--- a/src/records/job_loader.cpp
+++ b/src/records/job_loader.cpp
@@ -64,7 +64,7 @@
         return;
     job->version = notice.revision;
     if (!job->cancelled)
-        dependencies_.cancel(*job, notice.at, now);
+        dependencies_.cancel(*job, notice.cancelled_at, now);
 }
 
 void job_loader::restore_waiting_tasks() {
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -83,7 +83,7 @@
         bool full = filled.full;
         if (!filled.write.attempts.empty()) {
             filled.write.ops.push_back({store::keys::placements(from.open_record),
-                                        wire::encode_placed(extended.tasks), 0});
+                                        wire::encode_placements(extended.tasks), 0});
             if (paced && !full)
                 next_array_write_ = now + write_gap();
             extended.writing = true;
@@ -109,7 +109,7 @@
     begun.write.record = name;
     begun.bytes = empty_record_bytes;
     for (const auto &task : extended.tasks)
-        begun.bytes += wire::placed_bytes(task);
+        begun.bytes += wire::placement_bytes(task);
     return begun;
 }
 
@@ -149,7 +149,7 @@
     // takes every task of as many jobs as it may name.
     if (!filled.jobs.contains(task.job) && filled.jobs.size() >= most_jobs())
         return verdict::postpone;
-    if (filled.bytes + wire::placed_bytes(placement_of(task)) > most_bytes())
+    if (filled.bytes + wire::placement_bytes(placement_of(task)) > most_bytes())
         return verdict::full;
     return verdict::take;
 }
@@ -161,7 +161,7 @@
 
 void placement_records::cover(draft &filled, record &extended, const catalog::task_ref &task) {
     auto placement = placement_of(task);
-    filled.bytes += wire::placed_bytes(placement);
+    filled.bytes += wire::placement_bytes(placement);
     // A cancel changes the job's record, so it wins over a placement made meanwhile.
     if (filled.jobs.insert(task.job).second)
         filled.write.when.push_back(
@@ -186,12 +186,12 @@
 }
 
 std::size_t placement_records::most_bytes() const {
-    return std::min(most_record_bytes(settings_), constants::txn_bytes);
+    return std::min(most_record_bytes(settings_), constants::max_txn_bytes);
 }
 
 seconds placement_records::write_gap() const {
-    return seconds{1} / (constants::placement_share * constants::leader_write_share *
-                         constants::state_share * settings_.state_write_rps);
+    return seconds{1} / (constants::placement_write_share * constants::leader_write_share *
+                         constants::key_value_rate_share * settings_.key_value_write_rps);
 }
 
 // --- written ---
@@ -208,7 +208,8 @@
     if (!job)
         return;
     if (!ok)
-        job->write_after = now + constants::state_retry; // by then the watch tells what changed
+        job->write_after =
+            now + constants::key_value_retry_delay; // by then the watch tells what changed
     auto *attempt = state_.find_attempt(placed.task, placed.number);
     if (!attempt || attempt->phase != attempt_phase::committing)
         return;
--- a/src/records/record_cleanup.cpp
+++ b/src/records/record_cleanup.cpp
@@ -5,7 +5,7 @@
 namespace spindlecroft::records {
 
 void record_cleanup::sweep(placement_records &placements, done_records &done, time_point now) {
-    if (!elapsed(last_sweep_, constants::sweep_gap, now))
+    if (!elapsed(last_sweep_, constants::record_cleanup_interval, now))
         return;
     last_sweep_ = now;
     add(placements.take_ended());
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -18,7 +18,7 @@
 // Guards against a new leader that tries every task of a job that fails everywhere once more, and
 // blames the machines for it.
 void suspect_record::take_writes(std::vector<durable_write> &out, time_point now) {
-    if (writing_ || !elapsed(last_write_, constants::suspects_gap, now))
+    if (writing_ || !elapsed(last_write_, constants::suspects_write_interval, now))
         return;
     auto jobs = suspects_that_fit();
     if (jobs == stored_)
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -66,14 +66,14 @@
     else if (entry.name == "fleet-limit")
         options.fleet_limit = static_cast<int>(number_of(entry, 1, 100000));
     else if (entry.name == "spot")
-        options.spot = flag_of(entry);
+        options.may_rent_spot = flag_of(entry);
     else
         fail(entry.place, "is not a known setting");
 }
 
 } // namespace
 
-operator_options parse_operator(const std::string &text, const std::string &origin) {
+operator_options parse_operator_options(const std::string &text, const std::string &origin) {
     std::string copy = text; // the library may write to it
     expression root(parse_sexp(copy.data(), copy.size()), destroy_sexp);
     if (!root || root->ty != SEXP_LIST || !is_word(root->list) ||
@@ -90,8 +90,8 @@
     return options;
 }
 
-operator_options load_operator(const std::string &path) {
-    return parse_operator(read_file(path), path);
+operator_options load_operator_options(const std::string &path) {
+    return parse_operator_options(read_file(path), path);
 }
 
 } // namespace spindlecroft::settings
--- a/src/settings/platform_file.cpp
+++ b/src/settings/platform_file.cpp
@@ -100,26 +100,26 @@
 void read_node(settings &read, const section &root) {
     read.node = root.text("member");
     read.zone = root.text("location");
-    read.api = root.host_and_port("api_addr");
-    read.back = root.host_and_port("back");
+    read.api_address = root.host_and_port("api_addr");
+    read.peer_address = root.host_and_port("back");
 }
 
 void read_members(settings &read, const section &root) {
     std::set<std::string> seen{read.node};
     root.each_table("members", [&](const section &table) {
-        member other;
+        peer_controller other;
         other.name = table.text("member");
         other.zone = table.text("location");
-        other.back = table.host_and_port("addr");
+        other.peer_address = table.host_and_port("addr");
         if (!seen.insert(other.name).second)
             fail(table.full("member"), fmt::format("'{}' is named twice", other.name));
-        read.members.push_back(other);
+        read.peers.push_back(other);
     });
 }
 
 void read_services(settings &read, const section &services) {
-    read.cloud = services.host_and_port("cloud");
-    read.state = services.host_and_port("state");
+    read.cloud_address = services.host_and_port("cloud");
+    read.key_value_address = services.host_and_port("state");
 }
 
 team team_of(const section &table) {
@@ -152,8 +152,8 @@
         next.kind = table["kind"].value_or(std::string());
         next.job_class = table["class"].value_or(std::string());
         next.share = table["share"].value_or(0.0);
-        next.times = table["times"].value_or(0.0);
-        next.within = seconds{table["within_s"].value_or(0.0)};
+        next.deadline_factor = table["times"].value_or(0.0);
+        next.time_limit = seconds{table["within_s"].value_or(0.0)};
         read.objectives.push_back(next);
     });
 }
@@ -169,14 +169,14 @@
     read.value_kb = std::min(read.value_kb, next.number_or("value_kb", 2, read.value_kb));
     auto operations = next.number_or("txn_ops", 2, static_cast<double>(read.txn_ops));
     read.txn_ops = std::min(read.txn_ops, static_cast<int>(operations));
-    double rate = next.number_or("write_rps", 1, read.state_write_rps);
-    if (rate < read.state_write_rps)
-        read.next_state_write_rps = rate;
+    double rate = next.number_or("write_rps", 1, read.key_value_write_rps);
+    if (rate < read.key_value_write_rps)
+        read.next_key_value_write_rps = rate;
 }
 
 void read_state(settings &read, const section &state) {
-    read.state_rps = state.number("rps", 1);
-    read.state_write_rps = state.number("write_rps", 1);
+    read.key_value_rps = state.number("rps", 1);
+    read.key_value_write_rps = state.number("write_rps", 1);
     read.value_kb = state.number("value_kb", 2);
     read.txn_ops = static_cast<int>(state.number("txn_ops", 2));
     if (state.has("next"))
@@ -185,7 +185,7 @@
 
 void read_cloud(settings &read, const section &cloud) {
     read.cloud_rps = cloud.number("rps", 0.1);
-    read.list_lag = seconds{cloud.number("list_lag_s", 0)};
+    read.machine_list_lag = seconds{cloud.number("list_lag_s", 0)};
 }
 
 void read_machine_limits(settings &read, const section &limits) {
@@ -195,7 +195,7 @@
 }
 
 void read_cluster(settings &read, const section &cluster) {
-    read.clock_bound = seconds{cluster.number_or("time_bound_ms", 0, 1000) / ms_per_second};
+    read.max_clock_error = seconds{cluster.number_or("time_bound_ms", 0, 1000) / ms_per_second};
     read_teams(read, cluster);
     read_objectives(read, cluster);
     read_workers(read, cluster.subsection("workers"));
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -28,7 +28,7 @@
 }
 
 std::size_t settings::value_bytes() const {
-    return static_cast<std::size_t>(value_kb * bytes_per_kb) - constants::value_margin;
+    return static_cast<std::size_t>(value_kb * bytes_per_kb) - constants::value_size_margin;
 }
 
 std::string read_file(const std::string &path) {
--- a/src/settings/socket_plan.cpp
+++ b/src/settings/socket_plan.cpp
@@ -10,9 +10,9 @@
         return static_cast<std::size_t>(share * static_cast<double>(all));
     };
     socket_plan plan;
-    plan.commands = std::max<std::size_t>(1, part(constants::command_sockets));
-    plan.back = std::max(constants::back_sockets_least, part(constants::back_sockets));
-    auto rest = plan.commands + plan.back + constants::other_sockets;
+    plan.commands = std::max<std::size_t>(1, part(constants::command_socket_share));
+    plan.peers = std::max(constants::min_peer_sockets, part(constants::peer_socket_share));
+    auto rest = plan.commands + plan.peers + constants::reserved_sockets;
     plan.api = all > 2 * rest ? all - rest : std::max<std::size_t>(1, all / 2);
     return plan;
 }
--- a/src/settings/socket_plan.hpp
+++ b/src/settings/socket_plan.hpp
@@ -7,7 +7,7 @@
 /// Most sockets of each kind.
 struct socket_plan {
     std::size_t api = 0;      // users, workers and health checks
-    std::size_t back = 0;     // other controllers
+    std::size_t peers = 0;    // other controllers
     std::size_t commands = 0; // commands to workers, under way or kept open
 };
 
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -20,7 +20,7 @@
     : state_(state), settings_(settings), name_(std::move(name)), wake_(io) {}
 
 bool committer::full() const {
-    return waiting_.size() >= c::commit_queue;
+    return waiting_.size() >= c::max_queued_commits;
 }
 
 void committer::submit(write_unit unit) {
@@ -44,8 +44,8 @@
             co_await wake_.wait_for(idle_wait);
             continue;
         }
-        co_await net::sleep_for(c::commit_gap);
-        auto chosen = choose_units(waiting_, settings_.txn_ops, c::txn_bytes);
+        co_await net::sleep_for(c::commit_batch_delay);
+        auto chosen = choose_units(waiting_, settings_.txn_ops, c::max_txn_bytes);
         auto batch = take_units(waiting_, chosen);
         co_await send(std::move(batch));
     }
@@ -91,11 +91,11 @@
         co_return next_step::settled;
     case transaction_outcome::unknown:
         sent.unsure = true;
-        co_await net::sleep_for(c::state_retry);
+        co_await net::sleep_for(c::key_value_retry_delay);
         // The same again: its conditions hold at most once.
         co_return again_if_permitted(batch);
     case transaction_outcome::refused:
-        co_await net::sleep_for(c::state_retry);
+        co_await net::sleep_for(c::key_value_retry_delay);
         co_return on_refused(sent, batch);
     case transaction_outcome::rejected:
     case transaction_outcome::conflict:
@@ -200,12 +200,12 @@
     for (;;) {
         auto read = co_await state_.get(written->key, sent.priority);
         if (read) {
-            bool applied = read->found && wire::same_json(read->item.value, written->value);
-            co_return own_copy{applied, applied ? read->item.version : 0};
+            bool applied = read->found && wire::json_equal(read->item.value, written->value);
+            co_return own_copy{applied, applied ? read->item.revision : 0};
         }
         if (!permitted())
             co_return std::nullopt;
-        co_await net::sleep_for(c::state_retry);
+        co_await net::sleep_for(c::key_value_retry_delay);
     }
 }
 
@@ -215,13 +215,13 @@
                                                            write_batch &batch) {
     if (fence_failed)
         fence_failed();
-    co_await net::sleep_for(c::state_retry);
+    co_await net::sleep_for(c::key_value_retry_delay);
     auto now = fence();
     if (!now) {
         finish(batch, write_outcome::lost);
         co_return next_step::settled;
     }
-    co_return now->version != sent.fence->version ? next_step::settled : next_step::same_again;
+    co_return now->revision != sent.fence->revision ? next_step::settled : next_step::same_again;
 }
 
 // Units whose conditions failed are told; the others are tried again without them.
@@ -244,7 +244,7 @@
 awaitable<void> committer::read_revision(const std::string &key, request_priority priority) {
     auto read = co_await state_.get(key, priority);
     if (read && read->found)
-        revisions_.set(key, read->item.version);
+        revisions_.set(key, read->item.revision);
     else if (read)
         revisions_.forget(key);
 }
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -25,7 +25,7 @@
 constexpr int http_unavailable = 503;
 
 bool answered_with(const net::reply &reply, int status) {
-    return reply.how == net::outcome::answered && reply.status == status;
+    return reply.outcome == net::call_outcome::answered && reply.status == status;
 }
 
 // What the function makes of an answer, or nothing if the answer can't be read.
@@ -44,9 +44,9 @@
     transaction_result result;
     if (reply.status == http_ok) {
         result.outcome = transaction_outcome::committed;
-        result.revision = wire::parse_txn(reply.body).revision;
+        result.revision = wire::parse_txn_answer(reply.body).revision;
     } else if (reply.status == http_conflict) {
-        auto answer = wire::parse_txn(reply.body);
+        auto answer = wire::parse_txn_answer(reply.body);
         result.outcome = transaction_outcome::conflict;
         result.failed = std::move(answer.failed);
         result.revision = answer.revision;
@@ -64,8 +64,8 @@
 } // namespace
 
 key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &settings)
-    : client_(io, settings.state, idle_connections), settings_(settings), requests_(1), writes_(1),
-      write_rate_(settings.state_write_rps, settings.next_state_write_rps),
+    : client_(io, settings.key_value_address, idle_connections), settings_(settings), requests_(1),
+      writes_(1), write_rate_(settings.key_value_write_rps, settings.next_key_value_write_rps),
       last_ok_(net::steady_now()) {
     leading(false);
 }
@@ -79,14 +79,14 @@
 void key_value_client::set_rates() {
     double request_share = 1.0;
     double write_share = 1.0;
-    if (!settings_.members.empty()) {
-        auto others = static_cast<double>(settings_.members.size());
+    if (!settings_.peers.empty()) {
+        auto others = static_cast<double>(settings_.peers.size());
         request_share = leading_ ? leader_request_share : leader_request_share / others;
         write_share = leading_ ? c::leader_write_share : (1 - c::leader_write_share) / others;
     }
-    requests_.set_rate(c::state_share * settings_.state_rps * request_share);
+    requests_.set_rate(c::key_value_rate_share * settings_.key_value_rps * request_share);
     writes_.set_rate(
-        std::max(least_write_rate, c::state_share * write_rate_.limit() * write_share));
+        std::max(least_write_rate, c::key_value_rate_share * write_rate_.limit() * write_share));
 }
 
 awaitable<void> key_value_client::admit(request_priority priority, double write_count) {
@@ -141,7 +141,7 @@
         requests_.drain();
         if (write_count > 0)
             on_too_many_writes();
-    } else if (reply.how != net::outcome::answered || reply.status == http_unavailable) {
+    } else if (reply.outcome != net::call_outcome::answered || reply.status == http_unavailable) {
         failed_since_ok_ = true;
     } else {
         last_ok_ = net::steady_now();
@@ -158,16 +158,20 @@
 }
 
 bool key_value_client::serving(time_point now) const {
-    return !failed_since_ok_ && silence(now) < c::served_within;
+    return !failed_since_ok_ && silence(now) < c::store_serving_timeout;
 }
 
 awaitable<std::optional<key_lookup>> key_value_client::get(std::string key,
                                                            request_priority priority) {
-    auto reply = co_await call("GET", "/kv/" + key, "", c::state_timeout, priority);
+    auto reply = co_await call("GET", "/kv/" + key, "", c::key_value_timeout, priority);
     if (reply.ok())
-        co_return parsed([&] { return key_lookup{true, 0, *wire::parse_item(reply.body)}; });
+        co_return parsed([&] {
+            return key_lookup{true, 0, *wire::parse_key_value_item(reply.body)};
+        });
     if (answered_with(reply, http_not_found))
-        co_return parsed([&] { return key_lookup{false, wire::parse_revision(reply.body), {}}; });
+        co_return parsed([&] {
+            return key_lookup{false, wire::parse_store_revision(reply.body), {}};
+        });
     co_return std::nullopt;
 }
 
@@ -176,11 +180,11 @@
     wire::range_answer all;
     std::string after;
     for (;;) {
-        auto reply = co_await call("GET", wire::range_target(prefix, after, c::page_items), "",
-                                   c::state_timeout * 2, priority);
+        auto reply = co_await call("GET", wire::range_target(prefix, after, c::key_value_page_size),
+                                   "", c::key_value_timeout * 2, priority);
         if (!reply.ok())
             co_return std::nullopt;
-        auto page = parsed([&] { return wire::parse_range(reply.body); });
+        auto page = parsed([&] { return wire::parse_range_answer(reply.body); });
         if (!page)
             co_return std::nullopt;
         // The first page's revision: a watch from there repeats what later pages hold.
@@ -188,7 +192,7 @@
             all.revision = page->revision;
         for (auto &item : page->items)
             all.items.push_back(std::move(item));
-        if (!page->more || page->items.empty())
+        if (!page->has_more || page->items.empty())
             co_return all;
         after = all.items.back().key;
     }
@@ -197,13 +201,13 @@
 awaitable<watch_result> key_value_client::watch(std::string prefix, std::uint64_t since,
                                                 int hold_ms, request_priority priority) {
     auto reply = co_await call("GET", wire::watch_target(prefix, since, hold_ms), "",
-                               c::state_timeout + seconds{hold_ms / 1000.0}, priority);
+                               c::key_value_timeout + seconds{hold_ms / 1000.0}, priority);
     watch_result result;
     if (answered_with(reply, http_gone))
         result.outcome = watch_outcome::compacted;
     if (!reply.ok())
         co_return result;
-    auto changes = parsed([&] { return wire::parse_watch(reply.body); });
+    auto changes = parsed([&] { return wire::parse_watch_answer(reply.body); });
     if (!changes)
         co_return result;
     result.outcome = watch_outcome::changes;
@@ -217,30 +221,30 @@
                                                        net::permission permitted) {
     auto write_count = static_cast<double>(ops.size());
     auto reply = co_await call("POST", "/commit", wire::encode_txn(conditions, ops),
-                               c::state_timeout, priority, write_count, std::move(permitted));
+                               c::key_value_timeout, priority, write_count, std::move(permitted));
     transaction_result result;
-    if (reply.how == net::outcome::not_sent) {
+    if (reply.outcome == net::call_outcome::not_sent) {
         result.outcome = transaction_outcome::refused;
         co_return result;
     }
     result.outcome = transaction_outcome::unknown;
-    if (reply.how == net::outcome::unknown)
+    if (reply.outcome == net::call_outcome::unknown)
         co_return result;
     co_return parsed([&] { return parse_transaction(reply); }).value_or(result);
 }
 
 awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(seconds ttl) {
-    auto reply =
-        co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl.count() * 1000)),
-                      c::state_timeout, request_priority::leadership);
+    auto reply = co_await call("POST", "/leases",
+                               wire::encode_lease_request(static_cast<int>(ttl.count() * 1000)),
+                               c::key_value_timeout, request_priority::leadership);
     if (!reply.ok())
         co_return std::nullopt;
-    co_return parsed([&] { return wire::parse_lease(reply.body); });
+    co_return parsed([&] { return wire::parse_lease_id(reply.body); });
 }
 
 awaitable<lease_renewal> key_value_client::renew(std::uint64_t lease) {
     auto reply = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}",
-                               c::leader_renew, request_priority::leadership);
+                               c::leader_renew_interval, request_priority::leadership);
     if (reply.ok())
         co_return lease_renewal::renewed;
     if (answered_with(reply, http_not_found))
@@ -249,7 +253,7 @@
 }
 
 awaitable<void> key_value_client::end_lease(std::uint64_t lease) {
-    co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::state_timeout,
+    co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::key_value_timeout,
                   request_priority::leadership);
 }
 
--- a/src/store/transaction.cpp
+++ b/src/store/transaction.cpp
@@ -23,7 +23,7 @@
     std::map<std::string, std::uint64_t> expected; // revision by key
     for (auto &unit : batch) {
         for (auto &condition : unit.conditions)
-            expected[condition.key] = condition.version;
+            expected[condition.key] = condition.revision;
         for (auto &change : unit.ops) {
             if (unit.owned)
                 expected.try_emplace(change.key, revisions.of(change.key));
--- a/src/store/write_queue.cpp
+++ b/src/store/write_queue.cpp
@@ -7,12 +7,12 @@
 bool write_queue::may_go(ticket place, request_priority priority, time_point now) const {
     if (priority <= request_priority::cancel || waiting_.empty() || waiting_.front() == *place)
         return true;
-    return now - waiting_.front() <= constants::write_patience;
+    return now - waiting_.front() <= constants::write_aging_time;
 }
 
 request_priority write_queue::priority_of(ticket place, request_priority priority,
                                           time_point now) const {
-    bool waited_long = now - *place > constants::write_patience;
+    bool waited_long = now - *place > constants::write_aging_time;
     return waited_long ? std::min(priority, request_priority::cancel) : priority;
 }
 
--- a/src/store/write_rate.cpp
+++ b/src/store/write_rate.cpp
@@ -9,7 +9,7 @@
 bool write_rate::refused(time_point now) {
     if (!next_)
         return false;
-    if (!window_began_ || now - *window_began_ > c::refusal_window) {
+    if (!window_began_ || now - *window_began_ > c::write_refusal_window) {
         window_began_ = now;
         refusals_ = 0;
     }
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -71,7 +71,7 @@
 
 std::string encode_rental_request(const rental_request &request) {
     json::object object;
-    object["hire"] = request.request;
+    object["hire"] = request.id;
     object["frame"] = request.type;
     object["croft"] = request.zone;
     object["loaners"] = request.spot;
@@ -93,8 +93,8 @@
     auto object = parse_object(body);
     listed_machine_page page;
     for (const auto &machine : list_field(object, "spindles"))
-        page.hosts.push_back(listed_machine_of(object_element(machine, "spindles")));
-    page.more = flag_field_or(object, "more", false);
+        page.machines.push_back(listed_machine_of(object_element(machine, "spindles")));
+    page.has_more = flag_field_or(object, "more", false);
     return page;
 }
 
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -37,8 +37,8 @@
 
 /// One page of the cloud's list of our machines.
 struct listed_machine_page {
-    std::vector<listed_machine> hosts;
-    bool more = false; // another page follows
+    std::vector<listed_machine> machines;
+    bool has_more = false; // another page follows
 };
 [[nodiscard]] listed_machine_page parse_machine_list(const std::string &body);
 /// Path and query of the page that follows the machine `after`; empty: of the first page.
--- a/src/wire/heartbeats.cpp
+++ b/src/wire/heartbeats.cpp
@@ -17,7 +17,7 @@
             fail("thread", "is not JOB/NUMBER");
         number = number * 10 + static_cast<std::uint64_t>(digit - '0');
     }
-    if (number >= constants::threads_limit)
+    if (number >= constants::max_tasks_per_job)
         fail("thread", "has too large a number");
     return static_cast<std::uint32_t>(number);
 }
--- a/src/wire/job_records.cpp
+++ b/src/wire/job_records.cpp
@@ -35,22 +35,22 @@
     return record;
 }
 
-std::string encode_ended(const ended_record &record) {
+std::string encode_ended_record(const ended_record &record) {
     json::object object;
-    object["stage"] = state_word(record.state);
+    object["stage"] = job_state_name(record.state);
     object["done"] = record.done;
-    if (record.at > wall_time{})
-        object["at"] = epoch_seconds(record.at); // versions before 0.5 pass over it
+    if (record.ended_at > wall_time{})
+        object["at"] = epoch_seconds(record.ended_at); // versions before 0.5 pass over it
     return json::serialize(object);
 }
 
-ended_record parse_ended(const std::string &value) {
+ended_record parse_ended_record(const std::string &value) {
     auto object = parse_object(value);
     ended_record record;
-    bool done = text_field(object, "stage") == state_word(job_state::done);
+    bool done = text_field(object, "stage") == job_state_name(job_state::done);
     record.state = done ? job_state::done : job_state::cancelled;
     record.done = static_cast<std::uint32_t>(count_field(object, "done"));
-    record.at = known_wall_time(amount_field_or(object, "at", 0));
+    record.ended_at = known_wall_time(amount_field_or(object, "at", 0));
     return record;
 }
 
--- a/src/wire/job_records.hpp
+++ b/src/wire/job_records.hpp
@@ -31,11 +31,11 @@
 /// A job after its end.
 struct ended_record {
     job_state state = job_state::done;
-    std::uint32_t done = 0;      // tasks
-    std::optional<wall_time> at; // nothing: unknown, as in records of versions before 0.5
+    std::uint32_t done = 0;            // tasks
+    std::optional<wall_time> ended_at; // nothing: unknown, as in records of versions before 0.5
 };
-[[nodiscard]] std::string encode_ended(const ended_record &record);
-[[nodiscard]] ended_record parse_ended(const std::string &value);
+[[nodiscard]] std::string encode_ended_record(const ended_record &record);
+[[nodiscard]] ended_record parse_ended_record(const std::string &value);
 
 /// The record of jobs that fail wherever they run.
 [[nodiscard]] std::string encode_suspects(const std::vector<std::string> &jobs);
--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 void write_placement(json::object &object, const job_spec &spec) {
-    if (spec.types)
-        object["frames"] = text_array(*spec.types);
+    if (spec.machine_types)
+        object["frames"] = text_array(*spec.machine_types);
     if (spec.zone)
         object["croft"] = *spec.zone;
     object["samePlace"] = spec.same_zone;
-    object["scatter"] = spec.spread;
-    object["loaners"] = spec.spot;
+    object["scatter"] = spec.spread_across_zones;
+    object["loaners"] = spec.may_use_spot;
 }
 
 void write_durations(json::object &object, const job_spec &spec) {
@@ -47,7 +47,7 @@
 
 void read_demand(job_spec &spec, const json::object &object) {
     auto tasks = count_field(object, "threads");
-    if (tasks == 0 || tasks > constants::threads_limit)
+    if (tasks == 0 || tasks > constants::max_tasks_per_job)
         fail("threads", "must be from 1 to 100000");
     spec.tasks = static_cast<std::uint32_t>(tasks);
     spec.cpus = amount_field(object, "cores");
@@ -59,11 +59,11 @@
 
 void read_placement(job_spec &spec, const json::object &object) {
     if (find_field(object, "frames"))
-        spec.types = text_list_field(object, "frames");
+        spec.machine_types = text_list_field(object, "frames");
     spec.zone = optional_text(object, "croft");
     spec.same_zone = flag_field_or(object, "samePlace", false);
-    spec.spread = flag_field_or(object, "scatter", false);
-    spec.spot = flag_field_or(object, "loaners", false);
+    spec.spread_across_zones = flag_field_or(object, "scatter", false);
+    spec.may_use_spot = flag_field_or(object, "loaners", false);
 }
 
 void read_durations(job_spec &spec, const json::object &object) {
--- a/src/wire/key_value.cpp
+++ b/src/wire/key_value.cpp
@@ -10,7 +10,7 @@
     kv_item item;
     item.key = text_field(object, "key");
     item.value = json::serialize(required_field(object, "data"));
-    item.version = count_field(object, "mark");
+    item.revision = count_field(object, "mark");
     item.lease = optional_count(object, "loan").value_or(0);
     return item;
 }
@@ -23,7 +23,7 @@
     } else {
         item.key = text_field(object, "drop");
     }
-    item.version = count_field(object, "mark");
+    item.revision = count_field(object, "mark");
     return item;
 }
 
@@ -32,7 +32,7 @@
     for (const auto &condition : conditions) {
         json::object object;
         object["key"] = condition.key;
-        object["mark"] = condition.version;
+        object["mark"] = condition.revision;
         array.push_back(std::move(object));
     }
     return array;
@@ -63,7 +63,7 @@
     return body;
 }
 
-txn_answer parse_txn(const std::string &body) {
+txn_answer parse_txn_answer(const std::string &body) {
     auto object = parse_object(body);
     txn_answer answer;
     answer.revision = optional_count(object, "ledger").value_or(0);
@@ -73,12 +73,12 @@
     return answer;
 }
 
-range_answer parse_range(const std::string &body) {
+range_answer parse_range_answer(const std::string &body) {
     auto object = parse_object(body);
     range_answer answer;
     for (const auto &item : list_field(object, "items"))
         answer.items.push_back(item_of(object_element(item, "items")));
-    answer.more = flag_field_or(object, "more", false);
+    answer.has_more = flag_field_or(object, "more", false);
     answer.revision = count_field(object, "ledger");
     return answer;
 }
@@ -89,15 +89,15 @@
     return fmt::format("/kv?starts={}&since={}&most={}", prefix, after, limit);
 }
 
-std::optional<kv_item> parse_item(const std::string &body) {
+std::optional<kv_item> parse_key_value_item(const std::string &body) {
     return item_of(parse_object(body));
 }
 
-std::uint64_t parse_revision(const std::string &body) {
+std::uint64_t parse_store_revision(const std::string &body) {
     return count_field(parse_object(body), "ledger");
 }
 
-range_answer parse_watch(const std::string &body) {
+range_answer parse_watch_answer(const std::string &body) {
     auto object = parse_object(body);
     range_answer answer;
     answer.revision = count_field(object, "ledger");
@@ -111,7 +111,7 @@
     return fmt::format("/watch?starts={}&since={}&holdMs={}", prefix, since, hold_ms);
 }
 
-bool same_json(const std::string &left, const std::string &right) {
+bool json_equal(const std::string &left, const std::string &right) {
     boost::system::error_code left_error;
     boost::system::error_code right_error;
     auto left_value = json::parse(left, left_error);
@@ -119,11 +119,11 @@
     return !left_error && !right_error && left_value == right_value;
 }
 
-std::string encode_ttl(int ttl_ms) {
+std::string encode_lease_request(int ttl_ms) {
     return fmt::format("{{\"ttlMs\":{}}}", ttl_ms);
 }
 
-std::uint64_t parse_lease(const std::string &body) {
+std::uint64_t parse_lease_id(const std::string &body) {
     return count_field(parse_object(body), "loan");
 }
 
--- a/src/wire/key_value.hpp
+++ b/src/wire/key_value.hpp
@@ -28,31 +28,31 @@
 [[nodiscard]] std::string encode_txn(const std::vector<txn_condition> &when,
                                      const std::vector<txn_op> &ops);
 /// Throws malformed_message, as do the other parsers.
-[[nodiscard]] txn_answer parse_txn(const std::string &body);
+[[nodiscard]] txn_answer parse_txn_answer(const std::string &body);
 
 /// A page of keys, or the events of a watch.
 struct range_answer {
     std::vector<kv_item> items;
-    bool more = false;          // another page follows
+    bool has_more = false;      // another page follows
     std::uint64_t revision = 0; // of the store, as the answer shows it
 };
-[[nodiscard]] range_answer parse_range(const std::string &body);
+[[nodiscard]] range_answer parse_range_answer(const std::string &body);
 /// Path and query of the page that follows the key `after`; empty: of the first page.
 [[nodiscard]] std::string range_target(const std::string &prefix, const std::string &after,
                                        int limit);
 
-[[nodiscard]] std::optional<kv_item> parse_item(const std::string &body);
-[[nodiscard]] std::uint64_t parse_revision(const std::string &body);
+[[nodiscard]] std::optional<kv_item> parse_key_value_item(const std::string &body);
+[[nodiscard]] std::uint64_t parse_store_revision(const std::string &body);
 
 /// The events of a watch; an item without value was deleted.
-[[nodiscard]] range_answer parse_watch(const std::string &body);
+[[nodiscard]] range_answer parse_watch_answer(const std::string &body);
 [[nodiscard]] std::string watch_target(const std::string &prefix, std::uint64_t since, int hold_ms);
 
 /// Equal as JSON, whatever the spelling.
-[[nodiscard]] bool same_json(const std::string &left, const std::string &right);
+[[nodiscard]] bool json_equal(const std::string &left, const std::string &right);
 
 /// The request for a lease of so many milliseconds, and the id that it was given.
-[[nodiscard]] std::string encode_ttl(int ttl_ms);
-[[nodiscard]] std::uint64_t parse_lease(const std::string &body);
+[[nodiscard]] std::string encode_lease_request(int ttl_ms);
+[[nodiscard]] std::uint64_t parse_lease_id(const std::string &body);
 
 } // namespace spindlecroft::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -23,7 +23,7 @@
 cbor_item_t *cancels_item(const std::vector<cancel_notice> &notices) {
     cbor_item_t *cancels = cbor_new_definite_array(notices.size());
     for (const auto &notice : notices) {
-        auto at_ms = std::max(0.0, epoch_seconds(notice.at)) * ms_per_second;
+        auto at_ms = std::max(0.0, epoch_seconds(notice.cancelled_at)) * ms_per_second;
         cbor_item_t *entry = cbor_new_definite_array(cancel_values);
         (void)cbor_array_push(entry, text_item(notice.job));
         (void)cbor_array_push(entry, number_item(notice.revision));
@@ -98,7 +98,7 @@
     return found == texts.end() ? std::string() : found->second;
 }
 
-std::string encode_peer(const peer_message &message) {
+std::string encode_peer_message(const peer_message &message) {
     constexpr std::size_t version_and_cancels = 2;
     cbor_item_t *map =
         cbor_new_definite_map(message.numbers.size() + message.texts.size() + version_and_cancels);
@@ -113,7 +113,7 @@
     return bytes;
 }
 
-peer_message parse_peer(const std::string &body) {
+peer_message parse_peer_message(const std::string &body) {
     cbor_load_result result{};
     cbor_item_t *item = cbor_load(reinterpret_cast<cbor_data>(body.data()), body.size(), &result);
     if (!item)
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -22,8 +22,8 @@
     /// The text of that name, or an empty one.
     [[nodiscard]] std::string text(const std::string &key) const;
 };
-[[nodiscard]] std::string encode_peer(const peer_message &message);
+[[nodiscard]] std::string encode_peer_message(const peer_message &message);
 /// Throws malformed_message.
-peer_message parse_peer(const std::string &body);
+peer_message parse_peer_message(const std::string &body);
 
 } // namespace spindlecroft::wire
--- a/src/wire/placement_records.cpp
+++ b/src/wire/placement_records.cpp
@@ -73,7 +73,7 @@
         !values[3].is_bool())
         fail("requests", "must hold texts and a flag");
     rental_request request;
-    request.request = std::string(values[0].get_string());
+    request.id = std::string(values[0].get_string());
     request.type = std::string(values[1].get_string());
     request.zone = std::string(values[2].get_string());
     request.spot = values[3].get_bool();
@@ -83,7 +83,7 @@
 
 } // namespace
 
-std::string encode_placed(const std::vector<placed_task> &tasks) {
+std::string encode_placements(const std::vector<placed_task> &tasks) {
     json::object object;
     for (const auto &task : tasks) {
         auto &list = object[task.job];
@@ -94,7 +94,7 @@
     return json::serialize(object);
 }
 
-std::size_t placed_bytes(const placed_task &task) {
+std::size_t placement_bytes(const placed_task &task) {
     constexpr std::size_t entry_punctuation = 7; // brackets, commas and quotes
     constexpr std::size_t key_punctuation = 6;   // quotes, colon, brackets and comma
     // Its own entry, and the job's key as if it stood there for the first time.
@@ -102,7 +102,7 @@
     return task.machine.size() + numbers + entry_punctuation + task.job.size() + key_punctuation;
 }
 
-std::vector<placed_task> parse_placed(const std::string &value) {
+std::vector<placed_task> parse_placements(const std::string &value) {
     auto object = parse_object(value);
     std::vector<placed_task> tasks;
     for (const auto &[job, list] : object) {
@@ -114,19 +114,19 @@
     return tasks;
 }
 
-std::string encode_done(const std::vector<done_part> &parts) {
+std::string encode_done_parts(const std::vector<done_part> &parts) {
     json::object object;
     for (const auto &part : parts)
         object[fmt::format("{}/{}", part.job, part.part)] = hex_of(part.bits);
     return json::serialize(object);
 }
 
-std::size_t done_bytes(const std::string &job, std::size_t tasks) {
+std::size_t done_part_bytes(const std::string &job, std::size_t tasks) {
     constexpr std::size_t name_and_punctuation = 12; // the part's number, quotes, colon and comma
     return job.size() + (tasks + bits_per_digit - 1) / bits_per_digit + name_and_punctuation;
 }
 
-std::vector<done_part> parse_done(const std::string &value) {
+std::vector<done_part> parse_done_parts(const std::string &value) {
     auto object = parse_object(value);
     std::vector<done_part> parts;
     for (const auto &[name, hex] : object)
@@ -134,30 +134,30 @@
     return parts;
 }
 
-std::string encode_leader(const leader_record &record) {
+std::string encode_leader_record(const leader_record &record) {
     json::object object;
     object["node"] = record.node;
     object["incarnation"] = record.incarnation;
-    object["raise"] = record.raise;
+    object["raise"] = record.token_raises;
     return json::serialize(object);
 }
 
-leader_record parse_leader(const std::string &value) {
+leader_record parse_leader_record(const std::string &value) {
     auto object = parse_object(value);
     leader_record record;
     record.node = text_field(object, "node");
     record.incarnation = text_field(object, "incarnation");
-    record.raise = count_field(object, "raise");
+    record.token_raises = count_field(object, "raise");
     return record;
 }
 
 std::string encode_rental_record(const rental_record &record) {
     json::object object;
-    object["at"] = epoch_seconds(record.at);
+    object["at"] = epoch_seconds(record.requested_at);
     json::array requests;
     for (const auto &request : record.requests)
         requests.push_back(
-            json::array{request.request, request.type, request.zone, request.spot, request.count});
+            json::array{request.id, request.type, request.zone, request.spot, request.count});
     object["requests"] = std::move(requests);
     return json::serialize(object);
 }
@@ -165,16 +165,16 @@
 std::size_t rental_bytes(const rental_request &request) {
     constexpr std::size_t time_digits = 24;
     constexpr std::size_t punctuation_flag_and_count = 24;
-    if (request.request.empty())
+    if (request.id.empty())
         return encode_rental_record({}).size() + time_digits;
-    return request.request.size() + request.type.size() + request.zone.size() +
+    return request.id.size() + request.type.size() + request.zone.size() +
            punctuation_flag_and_count;
 }
 
 rental_record parse_rental_record(const std::string &value) {
     auto object = parse_object(value);
     rental_record record;
-    record.at = wall_time_of(amount_field(object, "at"));
+    record.requested_at = wall_time_of(amount_field(object, "at"));
     for (const auto &entry : list_field(object, "requests"))
         record.requests.push_back(rental_request_of(entry));
     return record;
--- a/src/wire/submissions.cpp
+++ b/src/wire/submissions.cpp
@@ -24,7 +24,7 @@
            id.starts_with(job_id_prefix) && std::all_of(id.begin(), id.end(), job_id_character);
 }
 
-std::string_view state_word(job_state state) {
+std::string_view job_state_name(job_state state) {
     return job_state_words.word(state);
 }
 
@@ -32,21 +32,21 @@
     return job_spec_of(parse_object(body));
 }
 
-std::string encode_spec(const job_spec &spec) {
+std::string encode_job_spec(const job_spec &spec) {
     return json::serialize(job_spec_object(spec));
 }
 
 std::string encode_accepted(const std::string &id, job_state state) {
     json::object object;
     object["uid"] = id;
-    object["stage"] = state_word(state);
+    object["stage"] = job_state_name(state);
     return json::serialize(object);
 }
 
 std::string encode_status(const job_status &status) {
     json::object object;
     object["uid"] = status.id;
-    object["stage"] = state_word(status.state);
+    object["stage"] = job_state_name(status.state);
     object["done"] = status.done;
     object["running"] = status.running;
     return json::serialize(object);
--- a/src/wire/submissions.hpp
+++ b/src/wire/submissions.hpp
@@ -30,16 +30,16 @@
 
 inline constexpr const char *path_jobs = "/submissions";
 inline constexpr const char *path_ready = "/ready";
-inline constexpr const char *suffix_cancel = "abort";
+inline constexpr const char *path_suffix_cancel = "abort";
 
 /// True for ids of the form job-NNN: at most 100 characters of digits, letters, '-', '_' and '.'.
 [[nodiscard]] bool valid_job_id(const std::string &id);
-[[nodiscard]] std::string_view state_word(job_state state);
+[[nodiscard]] std::string_view job_state_name(job_state state);
 
 /// Throws malformed_message.
 job_spec parse_submission(const std::string &body);
 /// The job as kept in the key-value store: the same fields as a submission.
-[[nodiscard]] std::string encode_spec(const job_spec &spec);
+[[nodiscard]] std::string encode_job_spec(const job_spec &spec);
 [[nodiscard]] std::string encode_accepted(const std::string &id, job_state state);
 [[nodiscard]] std::string encode_status(const job_status &status);
 [[nodiscard]] std::string encode_error(const std::string &what);
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -28,12 +28,13 @@
     double memory_gb = 0;
     std::string image; // name of the container image
     double image_gb = 0;
-    std::optional<std::vector<std::string>> types; // machine types that will do; nothing: any
-    std::optional<std::string> zone;               // nothing: any
-    bool same_zone = false;                        // all tasks in one zone
-    bool spread = false;                           // over several zones
-    bool spot = false;                             // may run on spot machines
-    seconds estimate{};                            // run time of a task; 0: none given
+    std::optional<std::vector<std::string>>
+        machine_types;                // machine types that will do; nothing: any
+    std::optional<std::string> zone;  // nothing: any
+    bool same_zone = false;           // all tasks in one zone
+    bool spread_across_zones = false; // over several zones
+    bool may_use_spot = false;        // may run on spot machines
+    seconds estimate{};               // run time of a task; 0: none given
     seconds checkpoint_interval{};
     seconds checkpoint_duration{};
     std::optional<seconds> deadline;       // from its acceptance
@@ -42,9 +43,9 @@
 
 /// fetching: its image, or waiting for its turn to do so.
 enum class task_state { fetching, running, checkpointing, exited };
-/// Why an attempt ended; none: it has not. no_room, busy: the worker refused it; unknown: the image
-/// is not known (yet).
-enum class exit_cause { none, done, stopped, error, no_room, busy, unknown };
+/// Why an attempt ended; none: it has not. insufficient_resources, busy: the worker refused it;
+/// unknown_image: the image is not known (yet).
+enum class exit_cause { none, done, stopped, error, insufficient_resources, busy, unknown_image };
 
 /// One task as a worker reports it.
 struct task_status {
@@ -70,8 +71,8 @@
     std::vector<task_status> tasks;
 
     /// The message with the larger (incarnation, sequence) is the newer one.
-    [[nodiscard]] bool newer_than(std::uint64_t other_incarnation,
-                                  std::uint64_t other_sequence) const {
+    [[nodiscard]] bool is_newer_than(std::uint64_t other_incarnation,
+                                     std::uint64_t other_sequence) const {
         return incarnation > other_incarnation ||
                (incarnation == other_incarnation && sequence > other_sequence);
     }
@@ -117,7 +118,7 @@
 
 /// A request for machines of one type. The cloud answers a repeated one alike.
 struct rental_request {
-    std::string request; // its name, by which the cloud knows it again
+    std::string id; // its name, by which the cloud knows it again
     std::string type;
     std::string zone;
     bool spot = false;
@@ -135,15 +136,15 @@
 /// A cancel that is durable at the key-value store.
 struct cancel_notice {
     std::string job;
-    std::uint64_t revision = 0;  // of the job's record that says so
-    std::optional<wall_time> at; // not after the user was told; nothing: unknown
+    std::uint64_t revision = 0;            // of the job's record that says so
+    std::optional<wall_time> cancelled_at; // not after the user was told; nothing: unknown
     bool operator==(const cancel_notice &) const = default;
 };
 
 /// A transaction is applied only if each of its keys has the given revision.
 struct txn_condition {
     std::string key;
-    std::uint64_t version = 0; // revision of the key; 0: it does not exist
+    std::uint64_t revision = 0; // revision of the key; 0: it does not exist
 };
 /// One write or delete of a transaction.
 struct txn_op {
@@ -154,9 +155,9 @@
 /// A key as the store shows it, in a read or an event.
 struct kv_item {
     std::string key;
-    std::string value;         // JSON; empty in an event: deleted
-    std::uint64_t version = 0; // revision of the key
-    std::uint64_t lease = 0;   // with which the key disappears; 0: none
+    std::string value;          // JSON; empty in an event: deleted
+    std::uint64_t revision = 0; // revision of the key
+    std::uint64_t lease = 0;    // with which the key disappears; 0: none
 };
 
 } // namespace spindlecroft
--- a/src/wire/words.hpp
+++ b/src/wire/words.hpp
@@ -75,9 +75,9 @@
     {exit_cause::done, "done"},
     {exit_cause::stopped, "halted"},
     {exit_cause::error, "error"},
-    {exit_cause::no_room, "no_room"},
+    {exit_cause::insufficient_resources, "no_room"},
     {exit_cause::busy, "in_use"},
-    {exit_cause::unknown, "no_such"},
+    {exit_cause::unknown_image, "no_such"},
 }}};
 
 /// Any other word counts as booting.
--- a/src/workers/failure_ledger.cpp
+++ b/src/workers/failure_ledger.cpp
@@ -21,13 +21,13 @@
         delay_retry(job, now);
         return false;
     }
-    if (job.failed_at.size() >= c::suspect_machines) {
+    if (job.failed_at.size() >= c::suspect_job_machines) {
         make_suspect(found.job, job, now);
         return true;
     }
     machine.undecided.insert(found.job);
-    machine.probation_until = now + c::probation;
-    if (machine.undecided.size() >= c::undecided_jobs)
+    machine.probation_until = now + c::machine_probation;
+    if (machine.undecided.size() >= c::faulty_machine_jobs)
         faulty_.insert(found.machine);
     return false;
 }
@@ -53,8 +53,8 @@
 void failure_ledger::delay_retry(job_entry &entry, time_point now) {
     if (now < entry.retry_at)
         return; // of the same wave of attempts
-    auto pause = c::job_backoff * std::pow(2.0, std::min(entry.suspect_failures, 10));
-    entry.retry_at = now + std::min(pause, c::job_backoff_max);
+    auto pause = c::initial_job_backoff * std::pow(2.0, std::min(entry.suspect_failures, 10));
+    entry.retry_at = now + std::min(pause, c::max_job_backoff);
     ++entry.suspect_failures;
 }
 
@@ -132,7 +132,7 @@
 seconds failure_ledger::proof_duration(const std::string &job) const {
     auto i = jobs_.find(job);
     auto failed_run = i == jobs_.end() ? seconds{0} : i->second.longest_run;
-    return c::proof_least + c::proof_runs * failed_run;
+    return c::min_proof_run_time + c::proof_run_time_ratio * failed_run;
 }
 
 std::vector<std::string> failure_ledger::unproven_jobs() const {
--- a/tests/builders.cpp
+++ b/tests/builders.cpp
@@ -10,14 +10,14 @@
     s.heartbeat_interval = 3s;
     s.lease_duration = 20s;
     s.cancel_deadline = 40s;
-    s.state_rps = 100;
-    s.state_write_rps = 25;
+    s.key_value_rps = 100;
+    s.key_value_write_rps = 25;
     s.value_kb = 8;
     s.txn_ops = 16;
     s.cloud_rps = 5;
-    s.list_lag = 8s;
+    s.machine_list_lag = 8s;
     s.max_connections = 1000;
-    s.ops.spare_replicas = 0;
+    s.options.spare_replicas = 0;
     return s;
 }
 
@@ -37,7 +37,7 @@
     s.image = "img";
     s.image_gb = 1;
     s.estimate = 30s;
-    s.spot = true;
+    s.may_use_spot = true;
     return s;
 }
 
--- a/tests/cancel_simulation_test.cpp
+++ b/tests/cancel_simulation_test.cpp
@@ -132,7 +132,7 @@
 
     void ask(std::size_t i) {
         auto &n = nodes[i];
-        n.next_ask = now + constants::leader_renew;
+        n.next_ask = now + constants::leader_renew_interval;
         if (now < n.busy_until)
             return;
         n.busy_until = now + constants::peer_timeout;
--- a/tests/cancels_test.cpp
+++ b/tests/cancels_test.cpp
@@ -147,28 +147,28 @@
 TEST(cancels, survive_the_wire_and_another_version_is_refused) {
     wire::peer_message m;
     m.cancels = {{"job-1", ~0ull, test::wall_at(1764640000.25)}, {std::string(100, 'x'), 0, {}}};
-    auto text = wire::encode_peer(m);
-    EXPECT_EQ(wire::parse_peer(text).cancels, m.cancels);
+    auto text = wire::encode_peer_message(m);
+    EXPECT_EQ(wire::parse_peer_message(text).cancels, m.cancels);
     auto other = text;
     other[other.find("version") + 7] = 3;
-    EXPECT_THROW((void)wire::parse_peer(other), wire::malformed_message);
+    EXPECT_THROW((void)wire::parse_peer_message(other), wire::malformed_message);
     // What is cut short or bent anywhere is read or refused, never worse.
     for (std::size_t i = 0; i < text.size(); ++i) {
-        EXPECT_THROW((void)wire::parse_peer(text.substr(0, i)), wire::malformed_message);
+        EXPECT_THROW((void)wire::parse_peer_message(text.substr(0, i)), wire::malformed_message);
         for (char bent : {'\x00', '\x7f', '\x83', '\xff'}) {
             auto t = text;
             t[i] = bent;
             try {
-                wire::parse_peer(t);
+                wire::parse_peer_message(t);
             } catch (const wire::malformed_message &) {
             }
         }
     }
     // The largest answer fits a message.
     wire::peer_message full;
-    for (std::size_t i = 0; i < constants::cancels_per_answer; ++i)
+    for (std::size_t i = 0; i < constants::max_cancels_per_answer; ++i)
         full.cancels.push_back({std::string(100, 'x'), ~0ull, test::wall_at(1e12)});
-    EXPECT_LT(wire::encode_peer(full).size(), constants::body_limit - 1024);
+    EXPECT_LT(wire::encode_peer_message(full).size(), constants::max_request_body_bytes - 1024);
 }
 
 namespace {
--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -232,16 +232,16 @@
         for (int i = 0; i < 3; ++i) {
             auto s = test::small_settings();
             s.node = fmt::format("n{}", i);
-            s.api = free_address();
-            s.back = free_address();
-            s.cloud = cloud;
-            s.state = state.open_door(static_cast<std::size_t>(i));
+            s.api_address = free_address();
+            s.peer_address = free_address();
+            s.cloud_address = cloud;
+            s.key_value_address = state.open_door(static_cast<std::size_t>(i));
             conf.push_back(s);
         }
         for (auto &s : conf)
             for (auto &o : conf)
                 if (o.node != s.node)
-                    s.members.push_back({o.node, "a", o.back});
+                    s.peers.push_back({o.node, "a", o.peer_address});
     }
     virtual ~controllers() = default;
 
@@ -255,7 +255,7 @@
 
     net::reply call(std::size_t node, const std::string &method, const std::string &target,
                     const std::string &body) {
-        net::client client(io, conf[node].api, 1);
+        net::client client(io, conf[node].api_address, 1);
         net::reply out;
         bool done = false;
         auto ask = [&]() -> awaitable<void> { // named: a coroutine does not keep its lambda alive
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -49,18 +49,18 @@
 
 TEST(compatibility, shared_records_are_written_as_before) {
     auto placed = sample("records/placed.json");
-    EXPECT_EQ(wire::parse_placed(placed).size(), 3u);
-    EXPECT_EQ(wire::encode_placed(wire::parse_placed(placed)), placed);
+    EXPECT_EQ(wire::parse_placements(placed).size(), 3u);
+    EXPECT_EQ(wire::encode_placements(wire::parse_placements(placed)), placed);
     auto done = sample("records/done.json");
-    EXPECT_EQ(wire::parse_done(done).front().bits.front(), true);
-    EXPECT_EQ(wire::encode_done(wire::parse_done(done)), done);
+    EXPECT_EQ(wire::parse_done_parts(done).front().bits.front(), true);
+    EXPECT_EQ(wire::encode_done_parts(wire::parse_done_parts(done)), done);
     auto rentals = sample("records/rentals.json");
     EXPECT_EQ(wire::parse_rental_record(rentals).requests.at(1).count, 50);
     EXPECT_EQ(wire::encode_rental_record(wire::parse_rental_record(rentals)), rentals);
     auto suspects = sample("records/suspects.json");
     EXPECT_EQ(wire::encode_suspects(wire::parse_suspects(suspects)), suspects);
     auto leader = sample("records/leader.json");
-    EXPECT_EQ(wire::encode_leader(wire::parse_leader(leader)), leader);
+    EXPECT_EQ(wire::encode_leader_record(wire::parse_leader_record(leader)), leader);
     auto types = sample("records/types.json");
     EXPECT_EQ(wire::encode_machine_types(wire::parse_machine_types(types)), types);
 }
@@ -68,15 +68,16 @@
 // The time of the end is new: production passes over it, and its records lack it.
 TEST(compatibility, ended_records_differ_in_a_field_that_production_passes_over) {
     auto value = sample("records/ended_done.json");
-    auto record = wire::parse_ended(value);
+    auto record = wire::parse_ended_record(value);
     EXPECT_EQ(record.state, job_state::done);
     EXPECT_EQ(record.done, 16u);
-    EXPECT_EQ(record.at, std::nullopt);
-    EXPECT_EQ(wire::encode_ended(record), value);
-    record.at = test::wall_at(12.5);
-    EXPECT_EQ(wire::parse_ended(wire::encode_ended(record)).at, test::wall_at(12.5));
-    EXPECT_TRUE(wire::encode_ended(record).starts_with(value.substr(0, value.size() - 1)));
-    EXPECT_EQ(wire::parse_ended(sample("records/ended_cancelled.json")).state,
+    EXPECT_EQ(record.ended_at, std::nullopt);
+    EXPECT_EQ(wire::encode_ended_record(record), value);
+    record.ended_at = test::wall_at(12.5);
+    EXPECT_EQ(wire::parse_ended_record(wire::encode_ended_record(record)).ended_at,
+              test::wall_at(12.5));
+    EXPECT_TRUE(wire::encode_ended_record(record).starts_with(value.substr(0, value.size() - 1)));
+    EXPECT_EQ(wire::parse_ended_record(sample("records/ended_cancelled.json")).state,
               job_state::cancelled);
 }
 
@@ -84,10 +85,10 @@
     for (auto *name : {"promise_question", "promise_answer", "release", "progress_question",
                        "progress_answer"}) {
         auto bytes = message(name);
-        EXPECT_EQ(wire::encode_peer(wire::parse_peer(bytes)), bytes) << name;
+        EXPECT_EQ(wire::encode_peer_message(wire::parse_peer_message(bytes)), bytes) << name;
     }
-    EXPECT_EQ(wire::parse_peer(message("promise_answer")).cancels.at(0).job, "job-000412");
-    EXPECT_EQ(wire::parse_peer(message("promise_question")).number("cancels_after"), 17u);
+    EXPECT_EQ(wire::parse_peer_message(message("promise_answer")).cancels.at(0).job, "job-000412");
+    EXPECT_EQ(wire::parse_peer_message(message("promise_question")).number("cancels_after"), 17u);
 }
 
 // Guards against a controller of the version in production that starts a job too early because it
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -90,7 +90,8 @@
         auto first = fmt::format("job-{}", 10 + round), second = fmt::format("job-{}", 30 + round);
         ASSERT_EQ(c.submit(0, submission(first)), 201);
         bool told = false, accepted = false;
-        net::client canceller(c.io, c.conf[1].api, 1), submitter(c.io, c.conf[2].api, 1);
+        net::client canceller(c.io, c.conf[1].api_address, 1),
+            submitter(c.io, c.conf[2].api_address, 1);
         auto cancel = [&]() -> awaitable<void> {
             auto answer =
                 co_await canceller.call("POST", "/submissions/" + first + "/abort", "", 6s);
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -32,7 +32,8 @@
         return request;
     }
     void get_vote(const std::string &peer, requester_role role, time_point now) {
-        auto length = role == requester_role::leader ? c::vote_length : c::candidacy;
+        auto length =
+            role == requester_role::leader ? c::leader_vote_duration : c::candidate_vote_duration;
         node.on_vote(peer, own_request(role, length), now, now);
     }
     void be_elected(time_point now, std::uint64_t version = 7) {
@@ -105,7 +106,7 @@
 TEST(election, a_vote_for_an_earlier_candidacy_does_not_count) {
     controller_of_three of;
     ASSERT_TRUE(of.node.start_campaign(at(10)));
-    auto late = of.own_request(requester_role::candidate, c::candidacy);
+    auto late = of.own_request(requester_role::candidate, c::candidate_vote_duration);
     of.node.abandon_campaign();
     of.node.release_own_vote();
     ASSERT_TRUE(of.node.start_campaign(at(10.5)));
@@ -119,7 +120,7 @@
 TEST(election, a_leader_that_lapsed_neither_asks_for_votes_nor_is_revived_by_one) {
     controller_of_three of;
     of.be_elected(at(10));
-    auto request = of.own_request(requester_role::leader, c::vote_length);
+    auto request = of.own_request(requester_role::leader, c::leader_vote_duration);
     EXPECT_TRUE(of.node.is_current(request, at(12)));
     EXPECT_FALSE(of.node.leading(at(14)));
     EXPECT_FALSE(of.node.is_current(request, at(14)));
@@ -133,8 +134,8 @@
     of.be_elected(at(10));
     EXPECT_TRUE(of.node.take_renewal_due(at(10)));
     EXPECT_FALSE(of.node.take_renewal_due(at(10)));
-    EXPECT_EQ(of.node.next_renewal(), at(10) + c::leader_renew);
-    EXPECT_TRUE(of.node.take_renewal_due(at(10) + c::leader_renew));
+    EXPECT_EQ(of.node.next_renewal(), at(10) + c::leader_renew_interval);
+    EXPECT_TRUE(of.node.take_renewal_due(at(10) + c::leader_renew_interval));
 }
 
 TEST(election, a_leader_gives_way_only_to_one_that_is_surely_better_placed) {
@@ -157,8 +158,8 @@
     of.node.on_answer("n1", report(true, 1s), without_heartbeats);
     EXPECT_TRUE(of.node.another_is_better_placed(0s, without_heartbeats));
     of.node.pause_campaigns(without_heartbeats);
-    EXPECT_FALSE(of.node.may_campaign(without_heartbeats + c::step_down_pause - 1s));
-    EXPECT_TRUE(of.node.may_campaign(without_heartbeats + c::step_down_pause));
+    EXPECT_FALSE(of.node.may_campaign(without_heartbeats + c::step_down_campaign_pause - 1s));
+    EXPECT_TRUE(of.node.may_campaign(without_heartbeats + c::step_down_campaign_pause));
 }
 
 TEST(election, the_leader_hint_prefers_a_live_leader_to_the_leader_key) {
@@ -170,7 +171,7 @@
     EXPECT_EQ(of.node.leader_hint(at(10)), "n1") << "a candidate leads nobody yet";
     of.node.on_request(vote_request("n2", requester_role::leader), at(10));
     EXPECT_EQ(of.node.leader_hint(at(11)), "n2");
-    EXPECT_EQ(of.node.leader_hint(at(10) + c::vote_length), "n1");
+    EXPECT_EQ(of.node.leader_hint(at(10) + c::leader_vote_duration), "n1");
     of.node.on_leader_key("n0");
     EXPECT_EQ(of.node.leader_hint(at(20)), "") << "the key is ours, but we do not lead";
     of.be_elected(at(20));
@@ -216,7 +217,7 @@
     of.node.on_request(vote_request("n2", requester_role::candidate), at(10));
     EXPECT_FALSE(of.node.isolated_for(5s, at(11)));
     EXPECT_TRUE(of.node.store_served_elsewhere(at(11)));
-    EXPECT_FALSE(of.node.store_served_elsewhere(at(10) + c::peer_report_valid));
+    EXPECT_FALSE(of.node.store_served_elsewhere(at(10) + c::readiness_report_max_age));
     EXPECT_TRUE(of.node.isolated_for(5s, at(15)));
     EXPECT_FALSE(election("n0", "n0#1", {}, at(0)).isolated_for(5s, at(10))) << "there is no other";
 }
--- a/tests/failure_ledger_test.cpp
+++ b/tests/failure_ledger_test.cpp
@@ -82,7 +82,7 @@
 
 TEST(failure_ledger, a_machine_that_fails_all_it_is_given_is_faulty_though_nothing_runs_elsewhere) {
     workers::failure_ledger ledger;
-    for (std::size_t k = 0; k < constants::undecided_jobs; ++k) {
+    for (std::size_t k = 0; k < constants::faulty_machine_jobs; ++k) {
         EXPECT_TRUE(ledger.take_faulty().empty());
         fail(ledger, "job-" + std::to_string(k), "i-1", at(static_cast<double>(k)));
     }
@@ -95,26 +95,26 @@
     EXPECT_EQ(ledger.retry_at("job-1"), at(0));
     fail(ledger, "job-1", "i-2", at(0));
     auto first = ledger.retry_at("job-1");
-    EXPECT_EQ(first, at(0) + constants::job_backoff);
+    EXPECT_EQ(first, at(0) + constants::initial_job_backoff);
     fail(ledger, "job-1", "i-3", at(1)); // of the same wave
     EXPECT_EQ(ledger.retry_at("job-1"), first);
     auto now = first;
     for (int k = 0; k < 20; ++k) {
         fail(ledger, "job-1", "i-4", now);
         EXPECT_GT(ledger.retry_at("job-1"), now);
-        EXPECT_LE(ledger.retry_at("job-1"), now + constants::job_backoff_max);
+        EXPECT_LE(ledger.retry_at("job-1"), now + constants::max_job_backoff);
         now = ledger.retry_at("job-1");
     }
     EXPECT_EQ(ledger.retry_at("job-1"), now);
     fail(ledger, "job-1", "i-4", now);
-    EXPECT_EQ(ledger.retry_at("job-1"), now + constants::job_backoff_max);
+    EXPECT_EQ(ledger.retry_at("job-1"), now + constants::max_job_backoff);
 }
 
 TEST(failure_ledger, what_failed_late_needs_a_longer_run_as_proof) {
     workers::failure_ledger ledger;
-    EXPECT_EQ(ledger.proof_duration("job-1"), constants::proof_least);
+    EXPECT_EQ(ledger.proof_duration("job-1"), constants::min_proof_run_time);
     ledger.attempt_failed({"job-1", "i-1", 8s, false}, at(10));
-    EXPECT_GT(ledger.proof_duration("job-1"), 8s * constants::proof_runs);
+    EXPECT_GT(ledger.proof_duration("job-1"), 8s * constants::proof_run_time_ratio);
 }
 
 TEST(failure_ledger, suspects_survive_a_change_of_leader) {
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -48,8 +48,8 @@
         (std::vector<fairness::turn>{{1, all_tasks}, {0, all_tasks}, {2, all_tasks}}));
     // One that never began begins first, with a single task; the oldest of the late has a share.
     EXPECT_EQ(fairness::serving_order({{{50s}, 20s, 5s},
-                                       {{-5s}, 900s, 5s, c::aged_after + 1s, true, 3},
-                                       {{70s}, 90s, 5s, c::starved_after + 1s}},
+                                       {{-5s}, 900s, 5s, c::aging_threshold + 1s, true, 3},
+                                       {{70s}, 90s, 5s, c::starvation_threshold + 1s}},
                                       100),
               (std::vector<fairness::turn>{
                   {2, 1}, {1, 2}, {0, all_tasks}, {2, all_tasks}, {1, all_tasks}}));
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -72,21 +72,21 @@
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small);
     offers.note_refused(cheapest_small, at(1));
     EXPECT_EQ(cheapest_key(offers, at(1)), (fleet::offer_key{"small", "b", true}));
-    EXPECT_NE(cheapest_key(offers, at(0.9) + c::refused_capacity), cheapest_small);
-    EXPECT_EQ(cheapest_key(offers, at(1) + c::refused_capacity), cheapest_small);
+    EXPECT_NE(cheapest_key(offers, at(0.9) + c::refused_offer_pause), cheapest_small);
+    EXPECT_EQ(cheapest_key(offers, at(1) + c::refused_offer_pause), cheapest_small);
 }
 
 TEST_F(offers_test, a_sold_out_offer_is_not_asked_for_many_times_over) {
     fleet::offer_catalog offers(state);
-    offers.add_pending(cheapest_small, 3 * c::machines_per_request);
+    offers.add_pending(cheapest_small, 3 * c::max_machines_per_rental_request);
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small) << "it was never refused";
 
     offers.note_refused(cheapest_small, at(1));
-    auto later = at(1) + c::refused_capacity;
+    auto later = at(1) + c::refused_offer_pause;
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
 
     offers.clear_pending();
-    offers.add_pending(cheapest_small, c::machines_per_request - 1);
+    offers.add_pending(cheapest_small, c::max_machines_per_rental_request - 1);
     EXPECT_EQ(cheapest_key(offers, later), cheapest_small) << "one request is not full yet";
     offers.add_pending(cheapest_small, 1);
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
@@ -113,7 +113,8 @@
     for (auto &type : types)
         type.price = 100 * type.spot_price;
     state.set_types(types);
-    EXPECT_DOUBLE_EQ(offers.on_demand_patience(test::small_job("job-1")), c::ordinary_patience);
+    EXPECT_DOUBLE_EQ(offers.on_demand_patience(test::small_job("job-1")),
+                     c::max_on_demand_wait_ratio);
     for (auto &type : types)
         type.spot_price = 0;
     state.set_types(types);
@@ -151,19 +152,19 @@
     requests.on_record_written(changes[0].round, fleet::rental_record_outcome::written);
     auto sent = requests.take_requests(at(3));
     ASSERT_EQ(sent.size(), 1u);
-    EXPECT_EQ(sent[0].request, changes[0].record->requests.at(0).request);
+    EXPECT_EQ(sent[0].id, changes[0].record->requests.at(0).id);
     EXPECT_EQ(sent[0].count, 2);
     EXPECT_TRUE(requests.take_requests(at(3)).empty()) << "it is under way";
-    requests.on_unclear_answer(sent[0].request, at(4));
+    requests.on_unclear_answer(sent[0].id, at(4));
     EXPECT_TRUE(requests.take_requests(at(4)).empty());
-    EXPECT_EQ(requests.take_requests(at(4) + c::rental_retry).size(), 1u);
+    EXPECT_EQ(requests.take_requests(at(4) + c::rental_retry_delay).size(), 1u);
 }
 
 TEST_F(rental_requests_test, a_record_is_dropped_only_when_every_machine_is_listed_or_gone) {
     fleet::rental_requests requests(state, 4096);
     auto sent = send_request(requests, offer_of_small(), 2, at(1));
     EXPECT_TRUE(requests.take_record_changes().empty()) << "it is not answered";
-    ASSERT_TRUE(requests.on_rented(sent.request, {"i-1", "i-2"}, at(2)));
+    ASSERT_TRUE(requests.on_rented(sent.id, {"i-1", "i-2"}, at(2)));
     EXPECT_TRUE(requests.take_record_changes().empty());
     state.find_machine("i-1")->listed_at = at(3);
     EXPECT_TRUE(requests.take_record_changes().empty());
@@ -173,13 +174,13 @@
     EXPECT_FALSE(changes[0].record);
     requests.on_record_written(changes[0].round, fleet::rental_record_outcome::dropped);
     EXPECT_TRUE(requests.take_record_changes().empty());
-    EXPECT_FALSE(requests.on_rented(sent.request, {"i-3"}, at(5))) << "it is forgotten";
+    EXPECT_FALSE(requests.on_rented(sent.id, {"i-3"}, at(5))) << "it is forgotten";
 }
 
 TEST_F(rental_requests_test, a_refused_request_has_no_machines) {
     fleet::rental_requests requests(state, 4096);
     auto sent = send_request(requests, offer_of_small(), 2, at(1));
-    ASSERT_TRUE(requests.on_refused(sent.request));
+    ASSERT_TRUE(requests.on_refused(sent.id));
     auto changes = requests.take_record_changes();
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_FALSE(changes[0].record);
@@ -187,22 +188,23 @@
 
 TEST_F(rental_requests_test, wishes_of_a_round_share_requests_and_a_record) {
     fleet::rental_requests requests(state, 4096);
-    for (int wish = 0; wish < c::machines_per_request + 10; ++wish)
+    for (int wish = 0; wish < c::max_machines_per_rental_request + 10; ++wish)
         requests.add(offer_of_small(), 1, at(1));
     auto changes = requests.take_record_changes();
     ASSERT_EQ(changes.size(), 1u);
     const auto &written = changes[0].record->requests;
     ASSERT_EQ(written.size(), 2u);
-    EXPECT_EQ(written[0].count, c::machines_per_request);
+    EXPECT_EQ(written[0].count, c::max_machines_per_rental_request);
     EXPECT_EQ(written[1].count, 10);
 }
 
 TEST_F(rental_requests_test, a_round_has_as_many_records_as_its_requests_need) {
-    std::size_t bytes = wire::rental_bytes({}) +
-                        wire::rental_bytes({"r-5-1", "small", "a", true, c::machines_per_request});
+    std::size_t bytes =
+        wire::rental_bytes({}) +
+        wire::rental_bytes({"r-5-1", "small", "a", true, c::max_machines_per_rental_request});
     fleet::rental_requests requests(state, bytes);
-    requests.add(offer_of_small(), c::machines_per_request, at(1));
-    requests.add(offer_of_small(), c::machines_per_request, at(1));
+    requests.add(offer_of_small(), c::max_machines_per_rental_request, at(1));
+    requests.add(offer_of_small(), c::max_machines_per_rental_request, at(1));
     EXPECT_EQ(requests.take_record_changes().size(), 2u);
 }
 
@@ -210,11 +212,11 @@
     fleet::rental_requests requests(state, 4096);
     wire::rental_record record;
     record.requests.push_back({"r-4-1", "small", "a", true, 3});
-    record.at = test::wall_at(0);
+    record.requested_at = test::wall_at(0);
     requests.load("4-1", record, at(10));
     auto sent = requests.take_requests(at(10));
     ASSERT_EQ(sent.size(), 1u);
-    EXPECT_EQ(sent[0].request, "r-4-1");
+    EXPECT_EQ(sent[0].id, "r-4-1");
     ASSERT_TRUE(requests.on_rented("r-4-1", {"i-1"}, at(11)));
     EXPECT_EQ(state.find_machine("i-1")->rented_at, at(0)) << "its boot began with the record";
 }
@@ -252,7 +254,7 @@
     state.find_machine("cut-2")->own_heartbeat_at = now;
     health.check(now + 1s);
     EXPECT_FALSE(state.find_machine("cut-0")->deleting);
-    now += c::cut_return + 1s;
+    now += c::zone_reconnect_grace + 1s;
     hear_others(now);
     state.find_machine("cut-1")->own_heartbeat_at = now;
     state.find_machine("cut-2")->own_heartbeat_at = now;
@@ -265,7 +267,7 @@
     fleet::machine_health health(settings, state);
     for (int k = 0; k < 3; ++k)
         add_running(fmt::format("cut-{}", k), "a").own_heartbeat_at = at(0);
-    auto last = model::silence_limit(settings) + settings.lease_duration + c::cut_patience;
+    auto last = model::silence_limit(settings) + settings.lease_duration + c::zone_cut_off_grace;
     for (auto now = at(0); now <= at(0) + last; now += 5s)
         health.check(now);
     EXPECT_FALSE(state.find_machine("cut-0")->deleting);
@@ -277,7 +279,7 @@
     fleet::machine_health health(settings, state);
     auto &machine = state.ensure_machine("i-1", at(0));
     state.describe_machine(machine, "large", "a", false, "");
-    auto late = at(5) + c::boot_late * machine.type.boot_time;
+    auto late = at(5) + c::late_boot_ratio * machine.type.boot_time;
     health.check(late);
     EXPECT_FALSE(machine.deleting);
     health.check(late + 1s);
@@ -348,11 +350,11 @@
 TEST_F(scale_out_test, replicas_are_spread_over_zones_and_spare_capacity_is_named) {
     auto spec = test::small_job("service-1");
     spec.shape = job_shape::service;
-    spec.spread = true;
-    spec.spot = false;
+    spec.spread_across_zones = true;
+    spec.may_use_spot = false;
     spec.tasks = 2;
     state.note_workload(spec, at(0));
-    settings.ops.spare_replicas = 2;
+    settings.options.spare_replicas = 2;
     fleet::offer_catalog offers(state);
     fleet::rental_requests requests(state, 4096);
     fleet::scale_out scale_out(settings, state, offers, requests);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -36,7 +36,7 @@
         std::map<std::string, int> now_asked;
         for (auto &q : core.take_rentals(now)) {
             ++now_asked[q.type + q.zone + (q.spot ? "spot" : "")];
-            core.on_rent_refused(q.request, now);
+            core.on_rent_refused(q.id, now);
         }
         for (auto &[offer, n] : now_asked) {
             auto &most = asked[offer]++ == 0 ? at_first : later;
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -60,13 +60,13 @@
     };
     entitled = false; // it ended while the connection was being made
     auto r = s.call(client, permitted);
-    EXPECT_EQ(r.how, net::outcome::not_sent);
+    EXPECT_EQ(r.outcome, net::call_outcome::not_sent);
     EXPECT_EQ(asked, 1);
     EXPECT_EQ(s.requests, 0);
     entitled = true;
     EXPECT_TRUE(s.call(client, permitted).ok());
     entitled = false; // on a kept connection too
-    EXPECT_EQ(s.call(client, permitted).how, net::outcome::not_sent);
+    EXPECT_EQ(s.call(client, permitted).outcome, net::call_outcome::not_sent);
     EXPECT_EQ(s.requests, 1);
 }
 
@@ -74,7 +74,7 @@
     counting_server s;
     s.answer = R"({"ledger":7})";
     auto conf = test::small_settings();
-    conf.state = s.at;
+    conf.key_value_address = s.at;
     store::key_value_client state(s.io, conf);
     bool entitled = true;
     auto commit = [&] {
@@ -139,7 +139,7 @@
     std::size_t commits_after = 1;
     state.stand_still = [&] {
         if (stood_still++ == 0)
-            std::this_thread::sleep_for(constants::candidacy + 200ms);
+            std::this_thread::sleep_for(constants::candidate_vote_duration + 200ms);
         else
             commits_after = state.commits;
     };
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -26,7 +26,7 @@
         state.apply({}, {{"j/a/" + id, wire::encode_job_record(r), 0}});
     }
     void put_end(const std::string &id, job_state ended_as) {
-        state.apply({}, {{"j/e/" + id, wire::encode_ended({ended_as, 0, wall_at(5)}), 0}});
+        state.apply({}, {{"j/e/" + id, wire::encode_ended_record({ended_as, 0, wall_at(5)}), 0}});
     }
     void run(seconds length) { io.run_for(net::timer_ticks(length)); }
     bool resolve(const std::string &id) {
--- a/tests/key_value_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -147,7 +147,7 @@
         store::transaction_result t;
         for (auto &c : when) {
             auto k = keys.find(c.key);
-            if ((k == keys.end() ? 0 : k->second.version) != c.version)
+            if ((k == keys.end() ? 0 : k->second.version) != c.revision)
                 t.failed.push_back(c.key);
         }
         if (!t.failed.empty()) {
--- a/tests/lease_votes_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -66,7 +66,7 @@
 
     explicit election_simulation(unsigned seed) : random(seed) {
         for (auto &n : nodes) {
-            n.clock_rate = 1 + real(0, c::clock_drift);
+            n.clock_rate = 1 + real(0, c::max_clock_drift);
             restart(n, at(0));
         }
     }
@@ -82,7 +82,8 @@
 
     static void restart(node &n, time_point time) {
         n.votes = std::make_unique<vote_ledger>(
-            clock(n, time), c::vote_length * (1 + 2 * c::clock_drift) + c::authority_margin);
+            clock(n, time),
+            c::leader_vote_duration * (1 + 2 * c::max_clock_drift) + c::authority_margin);
         n.own = std::make_unique<authority>("n", 3);
         n.leader = false;
     }
@@ -93,7 +94,7 @@
             key_until = std::max(key_until, now) + 3s;
         }
         if (now < outage_until)
-            key_until = std::max(key_until, now + c::leader_lease);
+            key_until = std::max(key_until, now + c::leader_lease_duration);
         else if (!key.empty() && now > key_until)
             key.clear();
     }
@@ -131,10 +132,10 @@
         }
         if (real(0, 1) >= 0.07)
             return;
-        gather_votes(index, now, c::vote_length);
+        gather_votes(index, now, c::leader_vote_duration);
         if (store_answers && key == n.candidacy) {
-            key_until = now + c::leader_lease;
-            n.own->lease_renewed(local, c::leader_lease);
+            key_until = now + c::leader_lease_duration;
+            n.own->lease_renewed(local, c::leader_lease_duration);
         }
     }
 
@@ -142,12 +143,12 @@
         auto &n = nodes[index];
         n.candidacy = std::to_string(index) + "#" + std::to_string(++candidacies);
         n.own->clear();
-        gather_votes(index, now, c::candidacy);
+        gather_votes(index, now, c::candidate_vote_duration);
         auto later = now + between(0, 0.4);
         if (n.own->majority(clock(n, later))) {
             key = n.candidacy;
-            key_until = now + c::leader_lease;
-            n.own->lease_renewed(clock(n, now), c::leader_lease);
+            key_until = now + c::leader_lease_duration;
+            n.own->lease_renewed(clock(n, now), c::leader_lease_duration);
             n.leader = true;
             ++elected;
         }
@@ -208,10 +209,10 @@
 TEST(nodes, on_its_own_it_gives_up_in_time) {
     membership::authority a("n0", 7);
     for (auto n : {"n0", "n1", "n2", "n3"})
-        a.vote_granted(n, at(10), c::vote_length);
-    a.lease_renewed(at(10.5), c::leader_lease);
+        a.vote_granted(n, at(10), c::leader_vote_duration);
+    a.lease_renewed(at(10.5), c::leader_lease_duration);
     // From here on nothing is heard; its own vote to itself is no majority.
-    a.vote_granted("n0", at(12), c::vote_length);
+    a.vote_granted("n0", at(12), c::leader_vote_duration);
     EXPECT_TRUE(a.valid(at(12.9)));
     EXPECT_TRUE(a.valid(at(13.2))) << "by its lease alone";
     EXPECT_FALSE(a.valid(at(13.5)));
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -106,7 +106,7 @@
 
 TEST(limits, a_cancel_fits_however_long_the_job_was) {
     auto spec = test::small_job("job-1");
-    spec.types = std::vector<std::string>(300, "a_type_of_machine");
+    spec.machine_types = std::vector<std::string>(300, "a_type_of_machine");
     spec.predecessors = std::vector<std::string>(100, "job-000002");
     spec.zone = std::string(200, 'z');
     spec.image = std::string(200, '\x01'); // six bytes each in JSON
@@ -120,9 +120,9 @@
     EXPECT_EQ(read.spec.tasks, spec.tasks);
     // Where there is room, nothing is left out.
     auto small = test::small_job("job-1");
-    small.types = {"large"};
+    small.machine_types = {"large"};
     auto whole = catalog::cancelled_record({false, wall_at(5), {}, small}, wall_at(9), 2048);
-    EXPECT_EQ(whole.spec.types, small.types);
+    EXPECT_EQ(whole.spec.machine_types, small.machine_types);
 }
 
 // An earlier version filled a record of done tasks up to limits that are no longer in force.
@@ -143,7 +143,7 @@
         part.bits[7] = true;
         parts.push_back(part);
     }
-    ASSERT_GT(wire::encode_done(parts).size(), record_limit(conf));
+    ASSERT_GT(wire::encode_done_parts(parts).size(), record_limit(conf));
     core.load_done("4-1", parts);
     core.loaded(at(0));
     auto r = report_of("i-1", "large", "a");
@@ -161,7 +161,7 @@
                 EXPECT_NE(o.key, "d/4-1");
             }
             if (w.kind == control::write_kind::done)
-                for (auto &part : wire::parse_done(w.ops.front().value))
+                for (auto &part : wire::parse_done_parts(w.ops.front().value))
                     if (part.bits.at(9)) {
                         EXPECT_TRUE(part.bits.at(7)) << "what was done before is there too";
                         told.insert(part.job);
@@ -189,7 +189,7 @@
         r.spec.tasks = 300;
         core.load_job(id, r, static_cast<std::uint64_t>(n), at(0));
     }
-    ASSERT_GT(wire::encode_placed(placed).size(), record_limit(conf));
+    ASSERT_GT(wire::encode_placements(placed).size(), record_limit(conf));
     core.load_placed("4-1", placed, at(0));
     core.loaded(at(0));
     std::size_t writes = 0;
@@ -222,7 +222,7 @@
 TEST(limits, a_takeover_with_four_thousand_machines) {
     constexpr int machines = 4000;
     auto conf = test::small_settings();
-    ASSERT_GE(conf.ops.fleet_limit, machines * 3 / 2);
+    ASSERT_GE(conf.options.fleet_limit, machines * 3 / 2);
     control::scheduler core(conf, test::small_types());
     core.begin(at(0), 9, wall_clock{});
     wire::job_record job;
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -25,16 +25,16 @@
 TEST(peer_messages, encode_to_the_recorded_bytes) {
     for (auto *name : {"promise_question", "release"}) {
         auto bytes = recorded_message(name);
-        auto request = membership::decode_request(wire::parse_peer(bytes));
-        EXPECT_EQ(wire::encode_peer(membership::encode(request)), bytes) << name;
+        auto request = membership::decode_request(wire::parse_peer_message(bytes));
+        EXPECT_EQ(wire::encode_peer_message(membership::encode(request)), bytes) << name;
     }
     auto bytes = recorded_message("promise_answer");
-    auto message = wire::parse_peer(bytes);
+    auto message = wire::parse_peer_message(bytes);
     auto answer = membership::decode_vote_answer(message);
     answer.cancels = membership::decode_cancel_answer(message);
     // The age of the read is rounded up by one more millisecond each time that it is sent.
     answer.cancels->read_age = *answer.cancels->read_age - 1ms;
-    EXPECT_EQ(wire::encode_peer(membership::encode(answer)), bytes);
+    EXPECT_EQ(wire::encode_peer_message(membership::encode(answer)), bytes);
 }
 
 TEST(peer_messages, what_an_answer_leaves_out_is_taken_for_the_worst) {
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -117,7 +117,7 @@
     auto spec = test::small_job("job-1");
     spec.zone = "b";
     EXPECT_EQ(zones_for(all.add_job(spec)), zones{"b"});
-    spec.types = {"small"};
+    spec.machine_types = {"small"};
     EXPECT_EQ(zones_for(all.add_job(spec)), zones{});
 }
 
@@ -134,7 +134,7 @@
 TEST_F(placement_rules, half_of_a_spread_job_may_be_in_one_zone) {
     auto spec = test::small_job("job-1");
     spec.tasks = 2;
-    spec.spread = true;
+    spec.spread_across_zones = true;
     auto &job = all.add_job(spec);
     job.queued[1] = "i-1";
     EXPECT_EQ(zones_for(job), zones{"b"});
@@ -143,7 +143,7 @@
 TEST_F(placement_rules, a_task_in_an_unknown_zone_counts_against_every_zone) {
     auto spec = test::small_job("job-1");
     spec.tasks = 2;
-    spec.spread = true;
+    spec.spread_across_zones = true;
     auto &job = all.add_job(spec);
     job.queued[1] = "i-gone";
     EXPECT_EQ(zones_for(job), zones{});
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -49,15 +49,15 @@
         s.core.tick(now);
     EXPECT_EQ(s.placed(), 10u * 64) << "all that fits at once is placed";
     EXPECT_GT(s.queued(), 0u);
-    EXPECT_LE(s.queued(), 10 * c::queue_tasks);
+    EXPECT_LE(s.queued(), 10 * c::max_queued_tasks);
 }
 
 TEST(planning, a_round_is_bounded_and_the_next_goes_on) {
     sweep s(60, 6000);
     s.core.tick(at(2));
-    EXPECT_LE(s.placed() + s.queued(), static_cast<std::size_t>(c::bids_per_round));
+    EXPECT_LE(s.placed() + s.queued(), static_cast<std::size_t>(c::max_bids_per_round));
     s.core.tick(at(2.1));
-    EXPECT_GT(s.placed(), static_cast<std::size_t>(c::bids_per_round));
+    EXPECT_GT(s.placed(), static_cast<std::size_t>(c::max_bids_per_round));
     for (auto now = at(2.2); now < at(4); now += seconds{0.1})
         s.core.tick(now);
     EXPECT_EQ(s.placed(), 60u * 64);
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -234,7 +234,7 @@
     commands.begin(at(1));
     place();
     ASSERT_EQ(commands.for_direct_command("i-1", start_permission::granted, at(2)).size(), 1u);
-    auto later = at(2) + 2 * constants::token_bump;
+    auto later = at(2) + 2 * constants::min_token_raise_interval;
     EXPECT_FALSE(commands.wants_token_raise(later));
     commands.unresolved("i-1", present_token, 1);
     EXPECT_FALSE(commands.wants_token_raise(at(2)));
@@ -275,7 +275,7 @@
     for (int ignored = 0; ignored < constants::outbound_partition_heartbeats; ++ignored) {
         EXPECT_FALSE(machine().outbound_partition_since) << "after " << ignored;
         ++unaware.sequence;
-        now += 2 * settings.heartbeat_interval + constants::worker_patience;
+        now += 2 * settings.heartbeat_interval + constants::worker_answer_timeout;
         receive(unaware, now);
     }
     EXPECT_TRUE(machine().outbound_partition_since);
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -96,7 +96,7 @@
     writes = writes_of(placements, at(100));
     ASSERT_EQ(writes.size(), 1u);
     EXPECT_EQ(writes.front().attempts.size(), 6u);
-    EXPECT_EQ(wire::parse_placed(writes.front().ops.front().value).size(), 20u)
+    EXPECT_EQ(wire::parse_placements(writes.front().ops.front().value).size(), 20u)
         << "the record still names the first 14";
 }
 
@@ -133,7 +133,7 @@
     ASSERT_EQ(writes.size(), 1u);
     placements.on_written(writes.front(), false, at(2));
     EXPECT_EQ(cluster.state.find_attempt({"job", 0}), nullptr);
-    EXPECT_EQ(cluster.state.find_job("job")->write_after, at(2) + constants::state_retry);
+    EXPECT_EQ(cluster.state.find_job("job")->write_after, at(2) + constants::key_value_retry_delay);
 }
 
 TEST(placement_records, services_and_arrays_do_not_share_records) {
@@ -157,9 +157,9 @@
     records::done_records done(cluster.settings, cluster.state);
     auto &job = cluster.add_job("job", 3);
     see_done(done, job, 1, at(1));
-    auto writes = done_writes(done, at(1) + constants::done_gap);
+    auto writes = done_writes(done, at(1) + constants::done_record_delay);
     ASSERT_EQ(writes.size(), 1u);
-    auto parts = wire::parse_done(writes.front().ops.front().value);
+    auto parts = wire::parse_done_parts(writes.front().ops.front().value);
     ASSERT_EQ(parts.size(), 1u);
     EXPECT_EQ(parts.front().bits, (std::vector<bool>{false, true, false, false}))
         << "whole hexadecimal digits";
@@ -180,7 +180,7 @@
     cluster.settings.value_kb = limit;
     see_done(done, job, 1, at(1));
     EXPECT_EQ(job.done_in[0], "7-1");
-    auto writes = done_writes(done, at(1) + constants::done_gap);
+    auto writes = done_writes(done, at(1) + constants::done_record_delay);
     ASSERT_EQ(writes.size(), 1u);
     EXPECT_EQ(writes.front().record, "7-1");
 }
@@ -194,8 +194,8 @@
     ASSERT_EQ(writes.size(), 1u);
     done.on_written(writes.front(), false, at(10));
     EXPECT_FALSE(job.done_durable[1]);
-    EXPECT_TRUE(done_writes(done, at(10) + constants::state_retry / 2).empty());
-    EXPECT_EQ(done_writes(done, at(10) + constants::state_retry * 2).size(), 1u);
+    EXPECT_TRUE(done_writes(done, at(10) + constants::key_value_retry_delay / 2).empty());
+    EXPECT_EQ(done_writes(done, at(10) + constants::key_value_retry_delay * 2).size(), 1u);
 }
 
 // --- ends of jobs ---
@@ -226,7 +226,7 @@
     ASSERT_EQ(writes.size(), 1u);
     EXPECT_FALSE(ends.on_written(writes.front(), false, at(2)));
     EXPECT_TRUE(writes_of(ends, at(2)).empty());
-    EXPECT_EQ(writes_of(ends, at(2) + constants::state_retry).size(), 1u);
+    EXPECT_EQ(writes_of(ends, at(2) + constants::key_value_retry_delay).size(), 1u);
 }
 
 // --- cleanup ---
@@ -244,7 +244,7 @@
     cleanup.take_writes(out, room);
     EXPECT_TRUE(out.empty());
     cluster.state.release_attempt(job, 0, true);
-    cleanup.sweep(placements, done, at(1) + constants::sweep_gap);
+    cleanup.sweep(placements, done, at(1) + constants::record_cleanup_interval);
     cleanup.take_writes(out, room);
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out.front().ops.front().key, "p/3-1");
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(settings, are_checked_and_errors_name_the_key) {
     auto s = settings::parse(good_settings, "f");
-    EXPECT_EQ(s.members.size(), 1u);
+    EXPECT_EQ(s.peers.size(), 1u);
     EXPECT_EQ(s.txn_ops, 8);
     struct {
         std::string from, to, key;
@@ -70,7 +70,7 @@
 
 TEST(settings, coming_limits_are_kept_from_the_start) {
     auto s = settings::parse(good_settings, "f");
-    EXPECT_EQ(s.next_state_write_rps, std::nullopt);
+    EXPECT_EQ(s.next_key_value_write_rps, std::nullopt);
     auto next = [](const std::string &fields) {
         return settings::parse(
             replace_first(good_settings, "[cluster.cloud]",
@@ -80,12 +80,12 @@
     s = next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4");
     EXPECT_EQ(s.value_kb, 2);
     EXPECT_EQ(s.txn_ops, 4);
-    EXPECT_EQ(s.state_write_rps, 20);
-    EXPECT_EQ(s.next_state_write_rps, 15);
+    EXPECT_EQ(s.key_value_write_rps, 20);
+    EXPECT_EQ(s.next_key_value_write_rps, 15);
     s = next("write_rps = 30.0\nvalue_kb = 64.0");
     EXPECT_EQ(s.value_kb, 4) << "the smaller of both";
     EXPECT_EQ(s.txn_ops, 8);
-    EXPECT_EQ(s.next_state_write_rps, std::nullopt);
+    EXPECT_EQ(s.next_key_value_write_rps, std::nullopt);
     for (auto *field : {"value_kb = 1.0", "txn_ops = 0", "write_rps = \"x\""})
         try {
             next(field);
@@ -96,10 +96,11 @@
 }
 
 TEST(settings, operators_file_is_strict) {
-    auto o = settings::parse_operator("(spindlecroft (spare-replicas 3) (spot no))", "f");
+    auto o = settings::parse_operator_options("(spindlecroft (spare-replicas 3) (spot no))", "f");
     EXPECT_EQ(o.spare_replicas, 3);
-    EXPECT_FALSE(o.spot);
+    EXPECT_FALSE(o.may_rent_spot);
     for (auto *bad : {"(spindlecroft (spare 3))", "(other)", "(spindlecroft (spot maybe))",
                       "(spindlecroft (spare-replicas x))", "(spindlecroft (spot yes) (spot no))"})
-        EXPECT_THROW((void)settings::parse_operator(bad, "f"), settings::settings_error) << bad;
+        EXPECT_THROW((void)settings::parse_operator_options(bad, "f"), settings::settings_error)
+            << bad;
 }
--- a/tests/simulated_leader.cpp
+++ b/tests/simulated_leader.cpp
@@ -40,11 +40,11 @@
     tell_predecessor_ends();
     for (auto &[key, kept] : kv) // done records before placements
         if (key[0] == 'd')
-            scheduler->load_done(key.substr(2), wire::parse_done(kept.first));
+            scheduler->load_done(key.substr(2), wire::parse_done_parts(kept.first));
     for (auto &[key, kept] : kv) {
         auto &value = kept.first;
         if (key[0] == 'p')
-            scheduler->load_placed(key.substr(2), wire::parse_placed(value), now);
+            scheduler->load_placed(key.substr(2), wire::parse_placements(value), now);
         if (key[0] == 'm')
             scheduler->load_rental(key.substr(2), wire::parse_rental_record(value), now);
         if (key == store::keys::suspect_jobs)
@@ -78,7 +78,7 @@
 
 void simulation::rent(const std::shared_ptr<control::scheduler> &leader,
                       const rental_request &request) {
-    if (!rentals.count(request.request))
+    if (!rentals.count(request.id))
         for (int count = 0; count < request.count; ++count) {
             worker w;
             w.name = fmt::format("i-{:04}", ++machine_count);
@@ -88,15 +88,15 @@
             w.up_at = now + between(1, 40);
             w.lease_from = w.up_at;
             w.faulty = chance(0.05);
-            rentals[request.request].push_back(w.name);
+            rentals[request.id].push_back(w.name);
             workers[w.name] = w;
         }
     if (leader != scheduler)
         return;
     if (chance(0.2))
-        leader->on_rent_unsure(request.request, now);
+        leader->on_rent_unsure(request.id, now);
     else
-        leader->on_rented(request.request, rentals[request.request], now);
+        leader->on_rented(request.id, rentals[request.id], now);
 }
 
 void simulation::delete_machines(const std::shared_ptr<control::scheduler> &leader,
@@ -197,7 +197,7 @@
                 ++by_name;
                 cancel_notice notice{id, j->second.version, {}};
                 if (auto told_at = j->second.cancelled_at)
-                    notice.at = wall_clock{}.to_wall(*told_at);
+                    notice.cancelled_at = wall_clock{}.to_wall(*told_at);
                 leader->on_cancel(notice, now);
             }
             notify_leader_at(id, std::max(outage_until, leader_refused_until));
--- a/tests/simulated_store.cpp
+++ b/tests/simulated_store.cpp
@@ -9,7 +9,7 @@
         return false;
     for (auto &c : t.write.when) {
         auto j = jobs.find(c.key.substr(4));
-        if (j == jobs.end() || j->second.version != c.version)
+        if (j == jobs.end() || j->second.version != c.revision)
             return false;
     }
     for (auto &[key, version] : t.owned) {
@@ -92,7 +92,7 @@
         if (o.key.rfind("j/a/", 0) == 0) {
             jobs.erase(o.key.substr(4));
         } else if (o.key.rfind("j/e/", 0) == 0) {
-            record_end(o.key.substr(4), wire::parse_ended(o.value).state);
+            record_end(o.key.substr(4), wire::parse_ended_record(o.value).state);
         } else if (o.value.empty()) {
             kv.erase(o.key);
         } else {
--- a/tests/simulated_users.cpp
+++ b/tests/simulated_users.cpp
@@ -17,8 +17,8 @@
     if (chance(0.25)) {
         r.spec.shape = job_shape::service;
         r.spec.priority = priority_class::critical;
-        r.spec.spot = false;
-        r.spec.spread = true;
+        r.spec.may_use_spot = false;
+        r.spec.spread_across_zones = true;
         r.spec.tasks = static_cast<std::uint32_t>(integer(1, 3));
         r.spec.cpus = 2;
     }
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -60,7 +60,7 @@
     task.attempt = order.attempt;
     if (cpus + spec.cpus > size + 1e-9) {
         task.state = task_state::exited;
-        task.cause = exit_cause::no_room;
+        task.cause = exit_cause::insufficient_resources;
     } else {
         check_start(w, order.job, order.index, order.attempt);
         task.state = task_state::running;
--- a/tests/simulation_rules.cpp
+++ b/tests/simulation_rules.cpp
@@ -23,7 +23,7 @@
     check_start_order(job);
     check_runs_once(w, job, index, attempt);
     check_team_limit_and_spread(w, job);
-    if (w.spot && !submitted.at(job).spot)
+    if (w.spot && !submitted.at(job).may_use_spot)
         report_violation("wrong_place: spot");
     if (auto found = jobs.find(job); found != jobs.end() && found->second.cancelled_at &&
                                      now > *found->second.cancelled_at + conf.cancel_deadline)
@@ -74,7 +74,7 @@
     auto *team = conf.find_team(spec.team);
     if (team->cpus_max > 0 && cpus > team->cpus_max + 1e-6)
         report_violation(fmt::format("quota of {}: {}", spec.team, cpus));
-    if (spec.spread && in_zone > static_cast<int>((spec.tasks + 1) / 2))
+    if (spec.spread_across_zones && in_zone > static_cast<int>((spec.tasks + 1) / 2))
         report_violation(fmt::format("wrong_place: {} of {} in one zone", in_zone, job));
 }
 
@@ -119,7 +119,7 @@
             view.used_by_team += running.team == spec.team ? running.cpus : 0;
             view.job_is_running = view.job_is_running || key.first == id;
         }
-        bool fits = free >= spec.cpus && (spec.spot || !worker.spot);
+        bool fits = free >= spec.cpus && (spec.may_use_spot || !worker.spot);
         view.has_room = view.has_room || fits;
     }
     return view;
--- a/tests/socket_plan_test.cpp
+++ b/tests/socket_plan_test.cpp
@@ -13,12 +13,13 @@
 TEST(sockets, commands_leave_room_for_reports) {
     for (int all : {1200, 4189, 4233, 5000}) {
         auto p = settings::plan_sockets(all);
-        EXPECT_LE(p.api + p.back + p.commands + c::other_sockets, static_cast<std::size_t>(all));
+        EXPECT_LE(p.api + p.peers + p.commands + c::reserved_sockets,
+                  static_cast<std::size_t>(all));
         EXPECT_GE(p.api, static_cast<std::size_t>(0.7 * all));
         EXPECT_GE(p.commands, 100u);
     }
     EXPECT_GE(settings::plan_sockets(20).api, 10u) << "few sockets are shared, not all kept back";
     net::server_limits limits{1000, 75s, 5s};
-    EXPECT_FALSE(net::server::crowded(850, limits));
-    EXPECT_TRUE(net::server::crowded(851, limits));
+    EXPECT_FALSE(net::server::is_crowded(850, limits));
+    EXPECT_TRUE(net::server::is_crowded(851, limits));
 }
--- a/tests/store_batch_test.cpp
+++ b/tests/store_batch_test.cpp
@@ -126,14 +126,14 @@
     auto made = store::make_transaction(batch, revisions, txn_condition{"leader", 3});
     std::vector<std::pair<std::string, std::uint64_t>> conditions;
     for (auto &condition : made.conditions)
-        conditions.emplace_back(condition.key, condition.version);
+        conditions.emplace_back(condition.key, condition.revision);
     EXPECT_EQ(conditions, (std::vector<std::pair<std::string, std::uint64_t>>{
                               {"j/a/job-1", 9}, {"p/1", 5}, {"p/2", 0}, {"leader", 3}}));
     EXPECT_EQ(made.ops.size(), 3u);
     EXPECT_EQ(made.priority, request_priority::accept);
     EXPECT_EQ(made.kept_after_refusal, 2u);
     ASSERT_TRUE(made.fence);
-    EXPECT_EQ(made.fence->version, 3u);
+    EXPECT_EQ(made.fence->revision, 3u);
     EXPECT_FALSE(made.unsure);
 }
 
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -58,24 +58,25 @@
             for (auto &o : w.ops) {
                 line += fmt::format(" {}{}", o.value.empty() ? "drop " : "", o.key);
                 if (w.kind == control::write_kind::placed)
-                    for (auto &t : wire::parse_placed(o.value))
+                    for (auto &t : wire::parse_placements(o.value))
                         line += fmt::format(" [{}/{} on {} attempt {}]", t.job, t.index, t.machine,
                                             show(t.attempt));
                 else if (w.kind == control::write_kind::done ||
                          w.kind == control::write_kind::suspects)
                     line += " " + o.value;
                 else if (w.kind == control::write_kind::job_end && !o.value.empty())
-                    line += std::string(" ") +
-                            std::string(wire::state_word(wire::parse_ended(o.value).state));
+                    line +=
+                        std::string(" ") +
+                        std::string(wire::job_state_name(wire::parse_ended_record(o.value).state));
             }
             for (auto &c : w.when)
-                line += fmt::format(" if {} is {}", c.key, c.version);
+                line += fmt::format(" if {} is {}", c.key, c.revision);
             say(line);
             writes.push_back(w);
         }
         for (auto &r : core->take_rentals(now))
             say(fmt::format("rent {} {} in {} {} as {}", r.count, r.type, r.zone,
-                            r.spot ? "spot" : "ordinary", r.request));
+                            r.spot ? "spot" : "ordinary", r.id));
         for (auto &n : core->take_deletions(now))
             say("delete " + n);
         for (auto &name : core->take_urgent())
@@ -115,9 +116,9 @@
                     {"done", {task_state::exited, exit_cause::done}},
                     {"stopped", {task_state::exited, exit_cause::stopped}},
                     {"error", {task_state::exited, exit_cause::error}},
-                    {"no_room", {task_state::exited, exit_cause::no_room}},
+                    {"no_room", {task_state::exited, exit_cause::insufficient_resources}},
                     {"busy", {task_state::exited, exit_cause::busy}},
-                    {"unknown", {task_state::exited, exit_cause::unknown}}};
+                    {"unknown", {task_state::exited, exit_cause::unknown_image}}};
                 std::tie(x.state, x.cause) = words.at(state);
                 r.tasks.push_back(x);
             }
@@ -162,8 +163,8 @@
         r.spec.cpus = std::stod(get(f, "cpus", "4"));
         r.spec.team = get(f, "team", "blue");
         r.spec.estimate = length(f, "estimate", "30");
-        r.spec.spread = get(f, "spread", "no") == "yes";
-        r.spec.spot = get(f, "spot", "yes") == "yes";
+        r.spec.spread_across_zones = get(f, "spread", "no") == "yes";
+        r.spec.may_use_spot = get(f, "spot", "yes") == "yes";
         r.spec.same_zone = get(f, "one_zone", "no") == "yes";
         if (f.count("zone"))
             r.spec.zone = get(f, "zone", "");
@@ -179,7 +180,7 @@
         if (get(f, "shape", "array") == "service") {
             r.spec.shape = job_shape::service;
             r.spec.priority = priority_class::critical;
-            r.spec.spot = false;
+            r.spec.may_use_spot = false;
             r.spec.estimate = seconds{};
         }
         if (f.count("needs"))
@@ -244,7 +245,7 @@
             bool ok = true;
             for (auto &c : w.when)
                 if (auto j = versions.find(c.key.substr(4));
-                    j == versions.end() ? c.version != 0 : j->second != c.version)
+                    j == versions.end() ? c.revision != 0 : j->second != c.revision)
                     ok = false;
             if (ok) {
                 ++revision;
@@ -347,15 +348,15 @@
     void tell_ends(time_point now) {
         for (auto &id : core->unresolved_predecessors())
             if (auto i = store.find("j/e/" + id); ends_known && i != store.end()) {
-                auto end = wire::parse_ended(i->second);
-                core->on_predecessor_end(id, {end.state, end.at}, now);
+                auto end = wire::parse_ended_record(i->second);
+                core->on_predecessor_end(id, {end.state, end.ended_at}, now);
             }
     }
     void load(const std::string &key, const std::string &value, time_point now) {
         if (key.rfind("d/", 0) == 0)
-            core->load_done(key.substr(2), wire::parse_done(value));
+            core->load_done(key.substr(2), wire::parse_done_parts(value));
         else if (key.rfind("p/", 0) == 0)
-            core->load_placed(key.substr(2), wire::parse_placed(value), now);
+            core->load_placed(key.substr(2), wire::parse_placements(value), now);
         else if (key.rfind("m/", 0) == 0)
             core->load_rental(key.substr(2), wire::parse_rental_record(value), now);
         else if (key == store::keys::suspect_jobs)
--- a/tests/upgrade/process_cluster.cpp
+++ b/tests/upgrade/process_cluster.cpp
@@ -36,12 +36,12 @@
     auto &s = conf[node];
     std::ofstream out(folder_ / (s.node + ".toml"));
     out << fmt::format("member = \"{}\"\nlocation = \"a\"\napi_addr = \"{}\"\nback = \"{}\"\n",
-                       s.node, text_of(s.api), text_of(s.back));
-    for (auto &m : s.members)
+                       s.node, text_of(s.api_address), text_of(s.peer_address));
+    for (auto &m : s.peers)
         out << fmt::format("[[members]]\nmember = \"{}\"\nlocation = \"a\"\naddr = \"{}\"\n",
-                           m.name, text_of(m.back));
+                           m.name, text_of(m.peer_address));
     out << fmt::format("[services]\ncloud = \"{}\"\nstate = \"{}\"\n[cluster]\ncount = 3\n",
-                       text_of(s.cloud), text_of(s.state));
+                       text_of(s.cloud_address), text_of(s.key_value_address));
     for (auto &t : s.teams)
         out << fmt::format("[[cluster.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\n", t.name,
                            t.cpus, t.cpus_max);
@@ -49,10 +49,10 @@
                        s.heartbeat_interval.count(), s.lease_duration.count(),
                        s.cancel_deadline.count());
     out << fmt::format("[cluster.state]\nrps = {}\nwrite_rps = {}\nvalue_kb = {}\ntxn_ops = {}\n",
-                       s.state_rps, s.state_write_rps, s.value_kb, s.txn_ops);
+                       s.key_value_rps, s.key_value_write_rps, s.value_kb, s.txn_ops);
     out << "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0\n";
     out << fmt::format("[cluster.cloud]\nrps = {}\nlist_lag_s = {}\n", s.cloud_rps,
-                       s.list_lag.count());
+                       s.machine_list_lag.count());
     out << "[cluster.machine_limits]\ncore_share = 0.5\nram_mb = 200.0\nmax_connections = 500\n";
 }
 
--- a/tests/wire_errors_test.cpp
+++ b/tests/wire_errors_test.cpp
@@ -22,9 +22,9 @@
     auto submission = [](const std::string &body) { (void)parse_submission(body); };
     auto report = [](const std::string &body) { (void)parse_heartbeat(body); };
     auto types = [](const std::string &body) { (void)parse_machine_types(body); };
-    auto transaction = [](const std::string &body) { (void)parse_txn(body); };
-    auto done = [](const std::string &body) { (void)parse_done(body); };
-    auto peer = [](const std::string &body) { (void)parse_peer(body); };
+    auto transaction = [](const std::string &body) { (void)parse_txn_answer(body); };
+    auto done = [](const std::string &body) { (void)parse_done_parts(body); };
+    auto peer = [](const std::string &body) { (void)parse_peer_message(body); };
     const std::string beat =
         R"({"spindle":"m","address":"a","frame":"f","croft":"z","shift":1,"tally":2,"warrant":3,)";
     const std::vector<refusal> refusals = {
