--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -18,14 +18,14 @@
     auto s = wire::parse_submission(good_job);
     EXPECT_EQ(s.priority, priority_class::high);
     EXPECT_FALSE(s.deadline);
-    EXPECT_TRUE(s.spread);
+    EXPECT_TRUE(s.spread_across_zones);
     wire::job_record r;
     r.cancelled = true;
     r.accepted_at = test::wall_at(12.5);
     r.spec = s;
     auto back = wire::parse_job_record(wire::encode_job_record(r));
     EXPECT_TRUE(back.cancelled);
-    EXPECT_EQ(wire::encode_spec(back.spec), wire::encode_spec(s));
+    EXPECT_EQ(wire::encode_job_spec(back.spec), wire::encode_job_spec(s));
 }
 
 TEST(wire, bad_submissions_name_the_field) {
@@ -62,17 +62,17 @@
         parts.push_back({"job-000412", part, std::vector<bool>(part == 3 ? 4096 : 4 * (part + 1))});
         for (std::size_t i = 0; i < parts.back().bits.size(); i += 7)
             parts.back().bits[i] = true;
-        counted += wire::done_bytes(parts.back().job, parts.back().bits.size());
+        counted += wire::done_part_bytes(parts.back().job, parts.back().bits.size());
     }
-    auto text = wire::encode_done(parts);
+    auto text = wire::encode_done_parts(parts);
     EXPECT_LE(text.size(), counted);
-    EXPECT_LE(wire::done_bytes("job-000412", 4096), 1100u) << "fits the smallest value limit";
-    auto got = wire::parse_done(text);
+    EXPECT_LE(wire::done_part_bytes("job-000412", 4096), 1100u) << "fits the smallest value limit";
+    auto got = wire::parse_done_parts(text);
     std::sort(got.begin(), got.end(), [](auto &x, auto &y) { return x.part < y.part; });
     EXPECT_EQ(got, parts);
     for (auto bad :
          {"[]", R"({"job-1":"0"})", R"({"job-1/x":"0"})", R"({"job-1/0":"g"})", R"({"job-1/0":1})"})
-        EXPECT_THROW((void)wire::parse_done(bad), wire::malformed_message) << bad;
+        EXPECT_THROW((void)wire::parse_done_parts(bad), wire::malformed_message) << bad;
 }
 
 TEST(wire, placements_take_no_more_bytes_than_counted) {
@@ -81,22 +81,22 @@
     for (std::uint32_t i = 0; i < 90; ++i) {
         tasks.push_back({i < 40 ? "job-1" : "job-000002", i * 1000, ~0ull >> (i % 60),
                          std::string(1 + i % 24, 'i')});
-        counted += wire::placed_bytes(tasks.back());
+        counted += wire::placement_bytes(tasks.back());
     }
-    auto text = wire::encode_placed(tasks);
+    auto text = wire::encode_placements(tasks);
     EXPECT_LE(text.size(), counted);
-    EXPECT_EQ(wire::parse_placed(text), tasks);
+    EXPECT_EQ(wire::parse_placements(text), tasks);
 }
 
 TEST(wire, peer_messages_survive_and_garbage_is_refused) {
     wire::peer_message m;
     m.numbers["a"] = ~0ull;
     m.texts["b"] = "x";
-    auto back = wire::parse_peer(wire::encode_peer(m));
+    auto back = wire::parse_peer_message(wire::encode_peer_message(m));
     EXPECT_EQ(back.number("a"), ~0ull);
     EXPECT_EQ(back.text("b"), "x");
-    EXPECT_THROW((void)wire::parse_peer("{}"), wire::malformed_message);
-    EXPECT_THROW((void)wire::parse_peer(""), wire::malformed_message);
+    EXPECT_THROW((void)wire::parse_peer_message("{}"), wire::malformed_message);
+    EXPECT_THROW((void)wire::parse_peer_message(""), wire::malformed_message);
 }
 
 TEST(wire, report_states_and_causes) {
@@ -109,6 +109,6 @@
     EXPECT_EQ(r.tasks[0].cause, exit_cause::stopped);
     EXPECT_TRUE(r.tasks[0].checkpointed);
     EXPECT_DOUBLE_EQ(r.reclaim_notice->count(), 5.5);
-    EXPECT_TRUE(r.newer_than(1, 99));
-    EXPECT_FALSE(r.newer_than(2, 7));
+    EXPECT_TRUE(r.is_newer_than(1, 99));
+    EXPECT_FALSE(r.is_newer_than(2, 7));
 }
