--- a/src/control/heartbeat_service.cpp
+++ b/src/control/heartbeat_service.cpp
@@ -55,7 +55,7 @@
     auto now = steady_now();
     auto age = core.on_heartbeat(received, now);
     by->wake.notify();
-    if (age == scheduler::heartbeat_age::dead)
+    if (age == scheduler::heartbeat_age::obsolete)
         return unsure("out of date");
     // Guards against ran_cancelled: where a cancel may have been confirmed that this controller
     // can't know of, only a machine that holds nothing is answered, and it gets nothing to start.
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -40,7 +40,7 @@
     job_loader_.restore_waiting_tasks();
     ready_ = true;
     state_.request_planning();
-    commands_.begin(now);
+    commands_.begin_term(now);
     last_scaling_ = now; // heartbeats come first, renting after
 }
 
@@ -49,7 +49,7 @@
 scheduler::heartbeat_age scheduler::on_heartbeat(const heartbeat &received, time_point now,
                                                  bool reply) {
     auto origin = reply ? reconciliation::heartbeat_origin::command_reply
-                        : reconciliation::heartbeat_origin::own;
+                        : reconciliation::heartbeat_origin::unsolicited;
     return heartbeats_.reconcile(received, origin, now);
 }
 
@@ -138,7 +138,7 @@
         return;
     if (elapsed(last_check_, c::check_gap, now))
         check(now);
-    bool wanted = state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now);
+    bool wanted = state_.is_planning_requested() && elapsed(last_plan_, c::plan_gap, now);
     if (wanted || elapsed(last_plan_, c::plan_at_least, now))
         plan(now);
     if (elapsed(last_scaling_, c::rent_gap, now))
@@ -184,7 +184,7 @@
     std::size_t ready = 0, booting = 0, spot = 0, queued = 0, attempts = 0, waiting = 0,
                 running = 0;
     for (const auto &[name, machine] : state_.machines()) {
-        ++(machine.up ? ready : booting);
+        ++(machine.is_up ? ready : booting);
         spot += machine.spot ? 1 : 0;
         queued += machine.queue.size();
         attempts += machine.attempts.size();
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -16,7 +16,7 @@
 #include "planning/round_planner.hpp"
 #include "reconciliation/command_composer.hpp"
 #include "reconciliation/failure_review.hpp"
-#include "reconciliation/heartbeat_age.hpp"
+#include "reconciliation/heartbeat_freshness.hpp"
 #include "reconciliation/heartbeat_reconciler.hpp"
 #include "reconciliation/lease_monitor.hpp"
 #include "records/done_records.hpp"
@@ -99,12 +99,12 @@
     // --- workers ---
     // The leader raised its fencing token.
     void on_token(std::uint64_t token) { state_.raise_token(token); }
-    using heartbeat_age = reconciliation::heartbeat_age;
+    using heartbeat_age = reconciliation::heartbeat_freshness;
     // reply: it came in the answer to a direct command, not as a heartbeat of its own.
     heartbeat_age on_heartbeat(const heartbeat &received, time_point now, bool reply = false);
     // Neither the heartbeat nor what is possibly running there names a task.
     [[nodiscard]] bool holds_nothing(const heartbeat &received) const {
-        return heartbeats_.holds_nothing(received);
+        return heartbeats_.has_no_tasks(received);
     }
     // Commands to give in the answer to the newest heartbeat. starts: tasks may be started now.
     std::vector<command> commands_for_answer(const std::string &machine, time_point now,
@@ -119,14 +119,14 @@
                                              bool starts = true);
     // Whether every start among the commands is still wanted.
     [[nodiscard]] bool starts_wanted(const std::vector<command> &commands) const {
-        return commands_.starts_wanted(commands);
+        return commands_.are_starts_current(commands);
     }
     // The direct message was executed, or surely never will be.
-    void command_resolved(const std::string &machine) { commands_.resolved(machine); }
+    void command_resolved(const std::string &machine) { commands_.mark_resolved(machine); }
     // It may yet be executed, as long as the machine has seen no higher token.
     void command_unresolved(const std::string &machine, std::uint64_t token,
                             std::uint64_t incarnation) {
-        commands_.unresolved(machine, token, incarnation);
+        commands_.mark_unresolved(machine, token, incarnation);
     }
 
     // --- the cloud ---
@@ -142,7 +142,7 @@
     }
     void on_rent_refused(const std::string &request, time_point now);
     void on_rent_unsure(const std::string &request, time_point now) {
-        fleet_.on_rent_unsure(request, now);
+        fleet_.on_rent_outcome_unknown(request, now);
     }
     void on_deleted(const std::vector<std::string> &machines, time_point now) {
         fleet_.on_deleted(machines, now);
@@ -166,11 +166,11 @@
     std::vector<std::string> take_deletions(time_point now) { return fleet_.take_deletions(now); }
     std::vector<rental_request> take_rentals(time_point now) { return fleet_.take_rentals(now); }
     // Machines to which commands should go at once.
-    std::vector<std::string> take_urgent() { return state_.take_urgent(); }
+    std::vector<std::string> take_urgent() { return state_.take_direct_command_targets(); }
     // A command to it is under way already: it is to be handed out again.
-    void keep_urgent(const std::string &machine) { state_.mark_urgent(machine); }
+    void keep_urgent(const std::string &machine) { state_.mark_for_direct_command(machine); }
     // Only a higher token proves that some unresolved command is dead.
-    bool wants_token_raise(time_point now) { return commands_.wants_token_raise(now); }
+    bool wants_token_raise(time_point now) { return commands_.take_token_raise_request(now); }
 
     // --- views ---
     struct progress {
--- a/src/dependencies/chain_inheritance.cpp
+++ b/src/dependencies/chain_inheritance.cpp
@@ -85,7 +85,7 @@
     job->spec.priority = priority;
     for (const auto &[index, attempt] : job->live)
         if (auto *machine = state_.find_machine(attempt.machine))
-            machine->touch(); // which room its tasks leave to others depends on the priority
+            machine->mark_changed(); // which room its tasks leave to others depends on the priority
 }
 
 } // namespace spindlecroft::dependencies
--- a/src/fleet/fleet_manager.cpp
+++ b/src/fleet/fleet_manager.cpp
@@ -37,7 +37,7 @@
     if (static_cast<int>(machines.size()) < rented->count)
         offers_.note_refused(key_of(*rented), now);
     else
-        offers_.note_filled(key_of(*rented));
+        offers_.note_fulfilled(key_of(*rented));
     state_.request_planning();
 }
 
--- a/src/fleet/fleet_manager.hpp
+++ b/src/fleet/fleet_manager.hpp
@@ -54,8 +54,8 @@
                    time_point now);
     // Returns whether the request was known: then another offer should be looked for at once.
     bool on_rent_refused(const std::string &request, time_point now);
-    void on_rent_unsure(const std::string &request, time_point now) {
-        requests_.on_unclear_answer(request, now);
+    void on_rent_outcome_unknown(const std::string &request, time_point now) {
+        requests_.on_outcome_unknown(request, now);
     }
 
     // --- deletions and the cloud's list ---
--- a/src/fleet/machine_health.cpp
+++ b/src/fleet/machine_health.cpp
@@ -18,12 +18,12 @@
 // Not if it is listed as running: then it is this process that doesn't hear it, as after a failover
 // in a cut, and it counts as silent.
 bool never_came_up(const workers::machine &machine, seconds boot_age) {
-    return !machine.up && machine.known_type && !machine.running_at &&
+    return !machine.is_up && machine.is_type_known && !machine.running_at &&
            boot_age > c::boot_late * machine.type.boot_time + boot_margin;
 }
 
 bool is_slow(const workers::machine &machine) {
-    return machine.up && machine.speed_samples >= c::slow_samples &&
+    return machine.is_up && machine.speed_samples >= c::slow_samples &&
            machine.speed < c::slow_machine;
 }
 
@@ -32,9 +32,9 @@
 seconds machine_health::silent_for(const workers::machine &machine, time_point now) const {
     // Listed as running without a word to us counts from then. Guards against feeding a machine
     // that reaches no controller while our commands reach it: its lease ends with all we give.
-    auto began = state_.term().began;
-    auto since =
-        machine.up ? std::max(machine.own_heartbeat_at.value_or(began), began) : machine.running_at;
+    auto began = state_.term().began_at;
+    auto since = machine.is_up ? std::max(machine.last_heartbeat_at.value_or(began), began)
+                               : machine.running_at;
     return since ? now - *since : seconds{};
 }
 
@@ -42,25 +42,25 @@
     silence_survey survey;
     seconds limit = model::silence_limit(settings_);
     for (auto &[name, machine] : state_.machines()) {
-        machine.silent = silent_for(machine, now) > limit;
-        if ((!machine.up && !machine.running_at) || machine.deleting)
+        machine.is_silent = silent_for(machine, now) > limit;
+        if ((!machine.is_up && !machine.running_at) || machine.is_deleting)
             continue;
         for (auto *tally : {&survey.all, &survey.zones[machine.zone]}) {
-            ++tally->up;
+            ++tally->observed;
             // Guards against deleting a large zone that is cut off, machine by machine: they fall
             // silent one after another, and when the first is, the others have been quiet already.
-            tally->quiet += silent_for(machine, now) > c::quiet_share * limit;
+            tally->possibly_silent += silent_for(machine, now) > c::quiet_share * limit;
         }
         // Nothing waits in the queue of a machine that may be dead.
-        if (machine.silent && !machine.queue.empty())
+        if (machine.is_silent && !machine.queue.empty())
             state_.clear_queue(machine);
     }
     return survey;
 }
 
-bool machine_health::is_zone_in_doubt(const std::string &zone, time_point now) const {
-    auto found = zone_doubt_until_.find(zone);
-    return found != zone_doubt_until_.end() && found->second > now;
+bool machine_health::is_zone_suspected_cut_off(const std::string &zone, time_point now) const {
+    auto found = zone_suspected_until_.find(zone);
+    return found != zone_suspected_until_.end() && found->second > now;
 }
 
 std::optional<deletion_reason> machine_health::reason_to_delete(const workers::machine &machine,
@@ -69,7 +69,7 @@
     // In a zone that is cut off, tasks go on until their leases end, and the machines are of use
     // again after the cut: deleting them at once would end work for nothing.
     seconds patience = model::silence_limit(settings_) + settings_.lease_duration + c::cut_patience;
-    if (machine.silent && (!in_doubt || silent_for(machine, now) > patience))
+    if (machine.is_silent && (!in_doubt || silent_for(machine, now) > patience))
         return deletion_reason::silent;
     if (never_came_up(machine, model::boot_age(machine, state_.term(), settings_, now)))
         return deletion_reason::never_came_up;
@@ -81,7 +81,7 @@
         now - *machine.outbound_partition_since >
             c::outbound_partition_leases * settings_.lease_duration)
         return deletion_reason::outbound_partition;
-    if (machine.quarantined && machine.attempts.empty())
+    if (machine.is_quarantined && machine.attempts.empty())
         return deletion_reason::quarantined;
     if (is_slow(machine) && machine.attempts.empty())
         return deletion_reason::slow;
@@ -94,11 +94,11 @@
     // After a cut the machines come back one after another.
     for (const auto &[zone, tally] : survey.zones)
         if (tally.looks_cut_off(zone_doubt_least_machines, c::silent_zone_share))
-            zone_doubt_until_[zone] = now + c::cut_return;
+            zone_suspected_until_[zone] = now + c::cut_return;
     for (auto &[name, machine] : state_.machines()) {
-        if (machine.deleting)
+        if (machine.is_deleting)
             continue;
-        bool in_doubt = all_in_doubt || is_zone_in_doubt(machine.zone, now);
+        bool in_doubt = all_in_doubt || is_zone_suspected_cut_off(machine.zone, now);
         if (auto reason = reason_to_delete(machine, in_doubt, now))
             state_.request_deletion(machine, to_text(*reason));
     }
--- a/src/fleet/machine_health.hpp
+++ b/src/fleet/machine_health.hpp
@@ -23,9 +23,9 @@
   private:
     // How many of some machines have been without a word for some time.
     struct silence_tally {
-        double up = 0, quiet = 0;
+        double observed = 0, possibly_silent = 0;
         [[nodiscard]] bool looks_cut_off(double least, double share) const {
-            return up > least && quiet > share * up;
+            return observed > least && possibly_silent > share * observed;
         }
     };
     struct silence_survey {
@@ -36,14 +36,14 @@
     [[nodiscard]] seconds silent_for(const workers::machine &machine, time_point now) const;
     // Marks the machines that are silent.
     silence_survey survey_silence(time_point now);
-    [[nodiscard]] bool is_zone_in_doubt(const std::string &zone, time_point now) const;
+    [[nodiscard]] bool is_zone_suspected_cut_off(const std::string &zone, time_point now) const;
     // in_doubt: the machine's zone, or all machines, look cut off.
     [[nodiscard]] std::optional<deletion_reason>
     reason_to_delete(const workers::machine &machine, bool in_doubt, time_point now) const;
 
     const settings::settings &settings_;
     model::cluster_state &state_;
-    std::map<std::string, time_point> zone_doubt_until_;
+    std::map<std::string, time_point> zone_suspected_until_;
 };
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/machine_list.cpp
+++ b/src/fleet/machine_list.cpp
@@ -17,11 +17,11 @@
 constexpr seconds list_age_margin{1};
 
 void take_over(model::cluster_state &state, const listed_machine &listed, time_point now) {
-    auto &machine = state.ensure_machine(listed.id, now);
-    state.describe_machine(machine, listed.type, listed.zone, listed.spot, listed.address);
+    auto &machine = state.find_or_add_machine(listed.id, now);
+    state.update_description(machine, listed.type, listed.zone, listed.spot, listed.address);
     if (!machine.listed_at) {
         machine.listed_at = now;
-        if (!machine.up)
+        if (!machine.is_up)
             machine.rented_at = std::min(machine.rented_at, now - listed.age);
     }
     if (listed.state == machine_state::running && !machine.running_at)
@@ -62,8 +62,8 @@
         spdlog::info("{}: no longer listed", name);
         state.remove_machine(name, now);
     }
-    state.forget_removed(removed_memory_leases * (settings.lease_duration + settings.list_lag),
-                         now);
+    state.forget_removed_machines(
+        removed_memory_leases * (settings.lease_duration + settings.list_lag), now);
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/offers.cpp
+++ b/src/fleet/offers.cpp
@@ -63,7 +63,7 @@
     return best;
 }
 
-double offer_catalog::on_demand_patience(const job_spec &spec) const {
+double offer_catalog::on_demand_wait_ratio(const job_spec &spec) const {
     double spot = 0, on_demand = 0; // the least price of room for one task
     for (const auto &type : state_.types()) {
         int slots = slots_on(type, spec);
@@ -84,7 +84,7 @@
     sold_out_.insert(offer);
 }
 
-void offer_catalog::note_filled(const offer_key &offer) {
+void offer_catalog::note_fulfilled(const offer_key &offer) {
     sold_out_.erase(offer);
 }
 
--- a/src/fleet/offers.hpp
+++ b/src/fleet/offers.hpp
@@ -41,12 +41,12 @@
 
     // How much longer work that may use spot instances waits before on-demand ones are rented for
     // it, as a ratio.
-    [[nodiscard]] double on_demand_patience(const job_spec &spec) const;
+    [[nodiscard]] double on_demand_wait_ratio(const job_spec &spec) const;
 
     // The cloud gave fewer machines than requested, or none.
     void note_refused(const offer_key &offer, time_point now);
     // The cloud gave all machines that were requested.
-    void note_filled(const offer_key &offer);
+    void note_fulfilled(const offer_key &offer);
 
     // Requests that the cloud has not answered yet, counted anew in each round of planning.
     void clear_pending() { pending_.clear(); }
--- a/src/fleet/rental_requests.cpp
+++ b/src/fleet/rental_requests.cpp
@@ -20,11 +20,11 @@
     rounds_[round].written = true;
     for (const auto &request : record.requests) {
         auto &rental = rentals_[request.request];
-        rental.what = request;
+        rental.request = request;
         rental.round = round;
         rental.requested_at =
             now - std::max(seconds{}, state_.term().clock.to_wall(now) - record.at);
-        rental.durable = true;
+        rental.is_durable = true;
     }
 }
 
@@ -39,10 +39,10 @@
         if (rental.round != round)
             continue;
         ++requests;
-        bytes += wire::rental_bytes(rental.what);
-        if (rental.requested_at == now && !rental.durable && asks_for(rental.what, offer) &&
-            rental.what.count + count <= constants::machines_per_request) {
-            rental.what.count += count;
+        bytes += wire::rental_bytes(rental.request);
+        if (rental.requested_at == now && !rental.is_durable && asks_for(rental.request, offer) &&
+            rental.request.count + count <= constants::machines_per_request) {
+            rental.request.count += count;
             return;
         }
     }
@@ -55,7 +55,7 @@
         round = round_name(++round_counter_);
     }
     auto &rental = rentals_[name];
-    rental.what = what;
+    rental.request = what;
     rental.round = round;
     rental.requested_at = now;
 }
@@ -67,7 +67,7 @@
         const auto *machine = state_.find_machine(name);
         return !machine || machine->listed_at;
     });
-    return !rental.answered || !rental.machines.empty();
+    return !rental.is_answered || !rental.machines.empty();
 }
 
 // One record for all requests of a round, written before the cloud is asked. It is dropped when
@@ -87,7 +87,7 @@
             auto &record = change.record.emplace();
             record.at = state_.term().clock.to_wall(rentals.front()->requested_at);
             for (const auto *rental : rentals)
-                record.requests.push_back(rental->what);
+                record.requests.push_back(rental->request);
         } else if (std::count_if(rentals.begin(), rentals.end(),
                                  [&](auto *rental) { return is_open(*rental); }) > 0) {
             continue;
@@ -113,16 +113,17 @@
     found->second.written = true;
     for (auto &[name, rental] : rentals_)
         if (rental.round == round)
-            rental.durable = true;
+            rental.is_durable = true;
 }
 
 std::vector<rental_request> rental_requests::take_requests(time_point now) {
     std::vector<rental_request> requests;
     for (auto &[name, rental] : rentals_) {
-        if (!rental.durable || rental.asking || rental.answered || rental.next_try > now)
+        if (!rental.is_durable || rental.is_call_pending || rental.is_answered ||
+            rental.retry_at > now)
             continue;
-        rental.asking = true;
-        const auto &what = rental.what;
+        rental.is_call_pending = true;
+        const auto &what = rental.request;
         spdlog::info("renting {} {} in {} ({})", what.count, what.type, what.zone,
                      what.spot ? "spot" : "ordinary");
         requests.push_back(what);
@@ -137,18 +138,19 @@
     if (found == rentals_.end())
         return std::nullopt;
     auto &rental = found->second;
-    rental.asking = false;
-    rental.answered = true;
+    rental.is_call_pending = false;
+    rental.is_answered = true;
     rental.machines = machines;
     for (const auto &name : machines) {
         if (state_.was_removed(name))
             continue;
-        auto &machine = state_.ensure_machine(name, now);
-        state_.describe_machine(machine, rental.what.type, rental.what.zone, rental.what.spot, "");
-        if (!machine.up)
+        auto &machine = state_.find_or_add_machine(name, now);
+        state_.update_description(machine, rental.request.type, rental.request.zone,
+                                  rental.request.spot, "");
+        if (!machine.is_up)
             machine.rented_at = std::min(machine.rented_at, rental.requested_at);
     }
-    return rental.what;
+    return rental.request;
 }
 
 std::optional<rental_request> rental_requests::on_refused(const std::string &request) {
@@ -156,18 +158,18 @@
     if (found == rentals_.end())
         return std::nullopt;
     auto &rental = found->second;
-    rental.asking = false;
-    rental.answered = true; // with no machines
+    rental.is_call_pending = false;
+    rental.is_answered = true; // with no machines
     rental.machines.clear();
-    return rental.what;
+    return rental.request;
 }
 
-void rental_requests::on_unclear_answer(const std::string &request, time_point now) {
+void rental_requests::on_outcome_unknown(const std::string &request, time_point now) {
     auto found = rentals_.find(request);
     if (found == rentals_.end())
         return;
-    found->second.asking = false;
-    found->second.next_try = now + constants::rental_retry;
+    found->second.is_call_pending = false;
+    found->second.retry_at = now + constants::rental_retry;
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/rental_requests.hpp
+++ b/src/fleet/rental_requests.hpp
@@ -18,14 +18,14 @@
 
 // One request to the cloud and how far it has come.
 struct tracked_rental {
-    rental_request what;
+    rental_request request;
     std::string round;                 // the record that names it
     time_point requested_at{};         // when the intent arose
-    bool durable = false;              // the name is written: the cloud may be asked
-    bool asking = false;               // a call to the cloud is under way
-    bool answered = false;             // machines are known
+    bool is_durable = false;           // the name is written: the cloud may be asked
+    bool is_call_pending = false;      // a call to the cloud is under way
+    bool is_answered = false;          // machines are known
     std::vector<std::string> machines; // not yet listed
-    time_point next_try{};
+    time_point retry_at{};
 };
 
 // A change of one round's durable record.
@@ -63,7 +63,7 @@
     on_rented(const std::string &request, const std::vector<std::string> &machines, time_point now);
     std::optional<rental_request> on_refused(const std::string &request);
     // No clear answer came: the request is sent again later.
-    void on_unclear_answer(const std::string &request, time_point now);
+    void on_outcome_unknown(const std::string &request, time_point now);
 
     // Calls visit(request) for each request that the cloud has not answered.
     template <class Visitor>
@@ -87,8 +87,8 @@
 template <class Visitor>
 void rental_requests::for_each_unanswered(Visitor visit) const {
     for (const auto &[name, rental] : rentals_)
-        if (!rental.answered)
-            visit(rental.what);
+        if (!rental.is_answered)
+            visit(rental.request);
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -8,7 +8,7 @@
 void scale_in::delete_idle(const std::set<std::string> &spare, time_point now) {
     for (auto &[name, machine] : state_.machines()) {
         bool has_work = !machine.attempts.empty() || !machine.queue.empty();
-        if (!machine.up || machine.deleting || has_work || spare.contains(name))
+        if (!machine.is_up || machine.is_deleting || has_work || spare.contains(name))
             continue;
         seconds keep =
             std::max(constants::idle_least, constants::idle_boots * machine.type.boot_time);
@@ -22,7 +22,7 @@
     for (auto &[name, machine] : state_.machines()) {
         if (names.size() >= static_cast<std::size_t>(constants::deletes_per_request))
             break;
-        if (!machine.deleting || machine.delete_sent_at)
+        if (!machine.is_deleting || machine.delete_sent_at)
             continue;
         machine.delete_sent_at = now;
         names.push_back(name);
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -181,7 +181,7 @@
     // Work that may use spot instances waits longer before on-demand ones are paid for: by as much
     // as they are dearer.
     double may_wait = needed - slots_within(demand, settings_.ops.drain_target *
-                                                        offers_.on_demand_patience(spec));
+                                                        offers_.on_demand_wait_ratio(spec));
     for (auto &machine : planned)
         if (is_allowed_on(machine, spec))
             needed = fill_with_tasks(machine, spec, needed);
--- a/src/model/boot_age.cpp
+++ b/src/model/boot_age.cpp
@@ -12,7 +12,7 @@
 seconds boot_age(const workers::machine &machine, const leadership_term &term,
                  const settings::settings &settings, time_point now) {
     seconds age = now - machine.rented_at;
-    if (now - term.began < silence_limit(settings))
+    if (now - term.began_at < silence_limit(settings))
         age = std::min(age, machine.type.boot_time);
     return age;
 }
--- a/src/model/cluster_state.cpp
+++ b/src/model/cluster_state.cpp
@@ -1,6 +1,6 @@
 #include "model/cluster_state.hpp"
 #include "constants.hpp"
-#include "workers/proven_gone.hpp"
+#include "workers/attempt_liveness.hpp"
 #include <algorithm>
 #include <spdlog/spdlog.h>
 
@@ -82,7 +82,7 @@
     return jobs_[id] = std::move(added);
 }
 
-void cluster_state::note_workload(const job_spec &spec, time_point now) {
+void cluster_state::note_accepted_job(const job_spec &spec, time_point now) {
     if (spec.shape == job_shape::array)
         latest_array_ = spec;
     else
@@ -101,7 +101,8 @@
 
 // --- machines ---
 
-cluster_state::machine &cluster_state::ensure_machine(const std::string &name, time_point now) {
+cluster_state::machine &cluster_state::find_or_add_machine(const std::string &name,
+                                                           time_point now) {
     auto [found, fresh] = machines_.try_emplace(name);
     auto &made = found->second;
     if (!fresh)
@@ -110,15 +111,15 @@
     made.rented_at = made.known_at = now;
     made.idle_since = now;
     // Whoever answered it before us, did so before our authority began.
-    made.lease_bound = std::max(term_.began, now) +
-                       settings_.lease_duration * (1 + constants::clock_drift) +
-                       constants::lease_slack;
+    made.latest_lease_end = std::max(term_.began_at, now) +
+                            settings_.lease_duration * (1 + constants::clock_drift) +
+                            constants::lease_slack;
     request_planning();
     return made;
 }
 
-std::size_t cluster_state::class_number(const std::string &type, const std::string &zone,
-                                        bool spot) {
+std::size_t cluster_state::machine_class_index(const std::string &type, const std::string &zone,
+                                               bool spot) {
     auto found = std::find_if(
         machine_classes_.begin(), machine_classes_.end(), [&](const machine_class &known) {
             return known.type == type && known.zone == zone && known.spot == spot;
@@ -129,32 +130,32 @@
     return number;
 }
 
-void cluster_state::describe_machine(machine &which, const std::string &type,
-                                     const std::string &zone, bool spot,
-                                     const std::string &address) {
+void cluster_state::update_description(machine &which, const std::string &type,
+                                       const std::string &zone, bool spot,
+                                       const std::string &address) {
     if (!address.empty() && which.address != address)
         which.address = address;
     bool unchanged =
-        which.known_type && which.type.name == type && which.zone == zone && which.spot == spot;
+        which.is_type_known && which.type.name == type && which.zone == zone && which.spot == spot;
     if (unchanged)
         return; // as in nearly every heartbeat
     if (const auto *known = find_type(type)) {
         which.type = *known;
-        which.known_type = true;
+        which.is_type_known = true;
     }
     which.zone = zone;
     which.spot = spot;
-    which.place = class_number(type, zone, spot);
-    which.touch();
+    which.machine_class = machine_class_index(type, zone, spot);
+    which.mark_changed();
 }
 
 void cluster_state::request_deletion(machine &which, const char *reason) {
-    if (which.deleting)
+    if (which.is_deleting)
         return;
     spdlog::info("{} ({} {} {}): to be deleted, {}", which.name, which.type.name, which.zone,
                  which.spot ? "spot" : "ordinary", reason);
-    which.deleting = true;
-    withdraw_unstarted(which);
+    which.is_deleting = true;
+    withdraw_unsent_attempts(which);
 }
 
 void cluster_state::remove_machine(const std::string &name, time_point now) {
@@ -165,11 +166,11 @@
     failures_.forget_machine(name);
     machines_.erase(name);
     removed_[name] = now;
-    urgent_.erase(name);
+    direct_command_targets_.erase(name);
     request_planning();
 }
 
-void cluster_state::forget_removed(seconds after, time_point now) {
+void cluster_state::forget_removed_machines(seconds after, time_point now) {
     std::erase_if(removed_, [&](const auto &removed) { return now - removed.second > after; });
 }
 
@@ -181,7 +182,7 @@
         auto *found = find_attempt(task);
         if (!found)
             continue;
-        if (judge(*found, host, removed) == workers::verdict::gone)
+        if (assess_attempt(*found, host, removed) == workers::attempt_liveness::gone)
             release_attempt(*find_job(task.job), task.index, true);
     }
 }
@@ -192,7 +193,7 @@
     auto index = added.task.index;
     if (auto *host = find_machine(added.machine)) {
         host->attempts.insert(added.task);
-        host->touch();
+        host->mark_changed();
     }
     return owner.live[index] = std::move(added);
 }
@@ -206,7 +207,7 @@
         spdlog::debug("{}/{} is no longer on {}", owner.spec.id, index, released.machine);
     if (auto *host = find_machine(released.machine)) {
         host->attempts.erase(released.task);
-        host->touch();
+        host->mark_changed();
     }
     owner.live.erase(found);
     if (to_waiting)
@@ -219,11 +220,11 @@
         return;
     which.stop_wanted = true;
     which.grace = grace;
-    mark_urgent(which.machine);
+    mark_for_direct_command(which.machine);
 }
 
 // Guards against tasks that wait for ever on a machine that gets no more work.
-void cluster_state::withdraw_unstarted(machine &from) {
+void cluster_state::withdraw_unsent_attempts(machine &from) {
     clear_queue(from);
     auto tasks = from.attempts;
     for (const auto &task : tasks) {
@@ -248,7 +249,7 @@
         owner->push_back(queued.task.index);
     }
     host.queue.clear();
-    host.touch();
+    host.mark_changed();
     request_planning();
 }
 
@@ -259,25 +260,25 @@
     if (auto *host = find_machine(found->second)) {
         catalog::task_ref task{owner.spec.id, index};
         std::erase_if(host->queue, [&](const auto &queued) { return queued.task == task; });
-        host->touch();
+        host->mark_changed();
     }
     owner.queued.erase(found);
 }
 
 // --- what is to be done next ---
 
-std::vector<std::string> cluster_state::take_urgent() {
+std::vector<std::string> cluster_state::take_direct_command_targets() {
     std::vector<std::string> out;
-    for (auto name = urgent_.begin(); name != urgent_.end();) {
+    for (auto name = direct_command_targets_.begin(); name != direct_command_targets_.end();) {
         const auto *marked = find_machine(*name);
-        bool reachable = marked && marked->up;
-        if (reachable && marked->commands_open > 0) {
+        bool reachable = marked && marked->is_up;
+        if (reachable && marked->open_direct_commands > 0) {
             ++name; // after the command that is under way
             continue;
         }
         if (reachable)
             out.push_back(*name);
-        name = urgent_.erase(name);
+        name = direct_command_targets_.erase(name);
     }
     return out;
 }
--- a/src/model/cluster_state.hpp
+++ b/src/model/cluster_state.hpp
@@ -23,7 +23,7 @@
 struct leadership_term {
     std::uint64_t first_token = 0; // the fencing token with which it began; names records
     std::uint64_t token = 0;       // the present one; the leader may raise it
-    time_point began{};
+    time_point began_at{};
     wall_clock clock; // for records that outlive this process
 };
 
@@ -78,7 +78,7 @@
     // Adds a job or replaces the one of that name.
     job &add_job(const std::string &id, job added);
     // An accepted job tells what work is to be expected.
-    void note_workload(const job_spec &spec, time_point now);
+    void note_accepted_job(const job_spec &spec, time_point now);
     void remove_job(const std::string &id) { jobs_.erase(id); }
     // The owner's estimate, corrected by what was measured of the class and of this very job.
     seconds expected_run_time(const job &owner) const;
@@ -93,10 +93,10 @@
 
     // --- machines ---
     // The machine of that name; made if it is not known yet.
-    machine &ensure_machine(const std::string &name, time_point now);
+    machine &find_or_add_machine(const std::string &name, time_point now);
     // What a heartbeat, a list or a rental says of the machine. An empty address says nothing.
-    void describe_machine(machine &which, const std::string &type, const std::string &zone,
-                          bool spot, const std::string &address);
+    void update_description(machine &which, const std::string &type, const std::string &zone,
+                            bool spot, const std::string &address);
     const std::vector<machine_class> &machine_classes() const { return machine_classes_; }
     // No new work for the machine, and a deletion as soon as the cloud can be asked.
     void request_deletion(machine &which, const char *reason);
@@ -105,7 +105,7 @@
     // It was removed of late; late heartbeats and lists may still name it.
     bool was_removed(const std::string &name) const { return removed_.contains(name); }
     // Names are not used again; late words about a machine end after some time.
-    void forget_removed(seconds after, time_point now);
+    void forget_removed_machines(seconds after, time_point now);
     // Gives up what is on the machine, or queued for it, but for results that are being recorded.
     void release_attempts(machine &host);
 
@@ -117,7 +117,7 @@
     // Asks for a stop with so much time to save a checkpoint. A shorter time replaces a longer one.
     void request_stop(attempt &which, seconds grace);
     // What was placed on the machine, but never sent, goes elsewhere.
-    void withdraw_unstarted(machine &from);
+    void withdraw_unsent_attempts(machine &from);
     std::uint64_t next_attempt_number();
 
     // --- queues: tasks that a machine won, not yet placed ---
@@ -128,16 +128,18 @@
     const workers::failure_ledger &failures() const { return failures_; }
 
     // --- what is to be done next ---
-    void request_planning() { planning_wanted_ = true; }
-    bool planning_wanted() const { return planning_wanted_; }
-    void clear_planning_request() { planning_wanted_ = false; }
+    void request_planning() { is_planning_requested_ = true; }
+    bool is_planning_requested() const { return is_planning_requested_; }
+    void clear_planning_request() { is_planning_requested_ = false; }
     // Commands should reach the machine without waiting for its next heartbeat.
-    void mark_urgent(const std::string &machine) { urgent_.insert(machine); }
+    void mark_for_direct_command(const std::string &machine) {
+        direct_command_targets_.insert(machine);
+    }
     // Machines marked so that can be sent a command now; the others stay marked.
-    std::vector<std::string> take_urgent();
+    std::vector<std::string> take_direct_command_targets();
 
   private:
-    std::size_t class_number(const std::string &type, const std::string &zone, bool spot);
+    std::size_t machine_class_index(const std::string &type, const std::string &zone, bool spot);
 
     const settings::settings &settings_;
     leadership_term term_;
@@ -151,8 +153,8 @@
     std::optional<job_spec> latest_array_;
     bidding::estimates estimates_;
     workers::failure_ledger failures_;
-    std::set<std::string> urgent_;
-    bool planning_wanted_ = true;
+    std::set<std::string> direct_command_targets_;
+    bool is_planning_requested_ = true;
     std::uint64_t attempt_counter_ = 0;
 };
 
--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -51,7 +51,7 @@
     const auto &spec = job.spec;
     seconds expected = state_.expected_run_time(job);
     auto allowed = allowed_classes_for(state_, job);
-    auto failed = state_.failures().failed_machines(spec.id);
+    auto failed = state_.failures().failed_machine_count(spec.id);
     bool some_failed = failed > 0 && failed < bidders_.size();
     need needed{spec.cpus,
                 spec.gpus,
@@ -81,7 +81,7 @@
 std::optional<round_bid> bid_round::bid_of(const request &asked, bidder &machine) const {
     const auto &job = asked.job;
     const auto &spec = job.spec;
-    if (!asked.allowed[machine.machine_class] || !machine.m->takes_work(asked.now))
+    if (!asked.allowed[machine.machine_class] || !machine.m->may_take_work(asked.now))
         return {};
     if (asked.some_failed && state_.failures().failed_on(spec.id, machine.m->name))
         return {};
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -23,9 +23,9 @@
 
 std::optional<seconds> bidder_table::time_until_up(const workers::machine &machine,
                                                    time_point now) const {
-    if (!machine.usable() || machine.silent || is_slow(machine))
+    if (!machine.is_usable() || machine.is_silent || is_slow(machine))
         return {};
-    if (machine.up)
+    if (machine.is_up)
         return seconds{};
     seconds age = model::boot_age(machine, state_.term(), settings_, now);
     if (age > c::boot_hedge * machine.type.boot_time)
@@ -55,7 +55,7 @@
         entry.m = &machine;
         entry.boot_time = *boot_time;
         // What nothing has changed on only grows older; that need not be exact.
-        if (machine.changed || !entry.refreshed_at || now - *entry.refreshed_at > c::bidder_age)
+        if (machine.has_changed || !entry.refreshed_at || now - *entry.refreshed_at > c::bidder_age)
             refresh(entry, now);
         bidding.push_back(&entry);
     }
@@ -70,19 +70,19 @@
 
 void bidder_table::refresh(bidder &entry, time_point now) {
     auto &machine = *entry.m;
-    machine.changed = false;
+    machine.has_changed = false;
     entry.refreshed_at = now;
     entry.type = &machine.type;
     entry.zone = machine.zone;
     entry.spot = machine.spot;
-    entry.machine_class = machine.place;
+    entry.machine_class = machine.machine_class;
     entry.free = {machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     entry.critical = entry.above_idle = entry.whole = entry.free;
     entry.work = seconds{};
     entry.fetches = 0;
     entry.cached.clear();
     entry.coming.clear();
-    for (auto &[image, used_at] : machine.images)
+    for (auto &[image, used_at] : machine.image_last_used)
         entry.cached.push_back(state_.image_number(image));
     hold_attempts(entry, now);
     hold_queue(entry);
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -42,7 +42,7 @@
 void preemption::find_candidates(const std::vector<bidder *> &round_bidders) {
     candidates_known_ = true;
     for (auto *machine : round_bidders) {
-        if (!machine->m->up)
+        if (!machine->m->is_up)
             continue;
         state_.for_each_attempt(*machine->m,
                                 [&](const catalog::job &job, const catalog::attempt &running) {
@@ -82,7 +82,7 @@
 bidder *preemption::machine_for(const job_spec &spec, const catalog::attempt &which,
                                 const allowed_classes &allowed, time_point now) {
     auto *machine = bidders_.find(which.machine);
-    if (!machine || !allowed[machine->machine_class] || !machine->m->takes_work(now) ||
+    if (!machine || !allowed[machine->machine_class] || !machine->m->may_take_work(now) ||
         state_.failures().failed_on(spec.id, which.machine))
         return nullptr;
     return machine;
--- a/src/planning/queue_starter.cpp
+++ b/src/planning/queue_starter.cpp
@@ -5,14 +5,14 @@
 
 void queue_starter::start_all(time_point now) {
     for (auto &[name, machine] : state_.machines())
-        if (!machine.queue.empty() && machine.startable)
+        if (!machine.queue.empty() && machine.has_unchecked_queue)
             start_queued(machine, now);
 }
 
 void queue_starter::start_queued(workers::machine &machine, time_point now) {
-    if (!machine.up || !machine.usable() || machine.silent || !machine.takes_work(now))
+    if (!machine.is_up || !machine.is_usable() || machine.is_silent || !machine.may_take_work(now))
         return;
-    machine.startable = false;
+    machine.has_unchecked_queue = false;
     auto load = load_of(machine);
     while (!machine.queue.empty()) {
         const auto &next = machine.queue.front();
@@ -47,7 +47,7 @@
 void queue_starter::start_front(workers::machine &machine, catalog::job &job, time_point now) {
     auto queued = machine.queue.front();
     machine.queue.pop_front();
-    machine.touch();
+    machine.mark_changed();
     job.queued.erase(queued.task.index);
     catalog::attempt created;
     created.task = queued.task;
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -46,7 +46,7 @@
     for (const auto &[name, machine] : state_.machines()) {
         if (!machine.queue.empty())
             waiting = true;
-        else if (machine.up && machine.usable() && !machine.silent)
+        else if (machine.is_up && machine.is_usable() && !machine.is_silent)
             idle = true;
     }
     return waiting && idle;
@@ -156,7 +156,7 @@
                                        : queued.priority > spec.priority;
         });
     machine.queue.insert(position, workers::queued_task{{spec.id, index}, spec.priority, estimate});
-    machine.startable = true;
+    machine.has_unchecked_queue = true;
     job.queued[index] = machine.name;
 }
 
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -37,7 +37,7 @@
                                                           start_permission permission,
                                                           time_point now) {
     auto *machine = state_.find_machine(machine_name);
-    if (!machine || !machine->up || machine->commands_open > 0)
+    if (!machine || !machine->is_up || machine->open_direct_commands > 0)
         return {};
     auto commands = compose(*machine, channel::direct, permission, now);
     bool starts = false;
@@ -53,11 +53,11 @@
         }
     }
     if (starts)
-        ++machine->commands_open;
+        ++machine->open_direct_commands;
     return commands;
 }
 
-bool command_composer::starts_wanted(const std::vector<command> &commands) const {
+bool command_composer::are_starts_current(const std::vector<command> &commands) const {
     return std::all_of(commands.begin(), commands.end(), [&](const command &given) {
         if (given.kind != command_kind::start)
             return true;
@@ -69,30 +69,30 @@
     });
 }
 
-void command_composer::resolved(const std::string &machine_name) {
+void command_composer::mark_resolved(const std::string &machine_name) {
     auto *machine = state_.find_machine(machine_name);
-    if (machine && machine->commands_open > 0)
-        --machine->commands_open;
+    if (machine && machine->open_direct_commands > 0)
+        --machine->open_direct_commands;
 }
 
-void command_composer::unresolved(const std::string &machine_name, std::uint64_t token,
-                                  std::uint64_t incarnation) {
+void command_composer::mark_unresolved(const std::string &machine_name, std::uint64_t token,
+                                       std::uint64_t incarnation) {
     auto *machine = state_.find_machine(machine_name);
     if (!machine)
         return;
-    if (machine->commands_open > 0)
-        --machine->commands_open;
+    if (machine->open_direct_commands > 0)
+        --machine->open_direct_commands;
     machine->unresolved_token = std::max(machine->unresolved_token, token);
     machine->unresolved_incarnation = std::max(machine->unresolved_incarnation, incarnation);
 }
 
-bool command_composer::wants_token_raise(time_point now) {
+bool command_composer::take_token_raise_request(time_point now) {
     if (!elapsed(last_token_raise_, constants::token_bump, now))
         return false;
     const auto &machines = state_.machines();
     bool wanted = std::any_of(machines.begin(), machines.end(), [&](const auto &entry) {
         const auto &machine = entry.second;
-        return machine.commands_open == 0 && machine.has_unacknowledged_direct_command() &&
+        return machine.open_direct_commands == 0 && machine.has_unacknowledged_direct_command() &&
                machine.unresolved_token >= state_.term().token;
     });
     if (wanted)
@@ -102,7 +102,7 @@
 
 std::vector<command> command_composer::compose(workers::machine &machine, channel through,
                                                start_permission permission, time_point now) {
-    composition composed{machine, through, permission, room_after_stops(machine), {}, {}};
+    composition composed{machine, through, permission, resources_after_stops(machine), {}, {}};
     add_cleanup(composed, now);
     state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
         add_for_attempt(composed, job, attempt);
@@ -110,8 +110,9 @@
     if (through == channel::answer && !composed.starts.empty()) {
         machine.answer_incarnation = machine.incarnation;
         machine.answer_sequence = machine.sequence;
-        machine.answer_until = now + constants::worker_patience * (1 + constants::clock_drift) +
-                               constants::lease_slack;
+        machine.answer_expires_at = now +
+                                    constants::worker_patience * (1 + constants::clock_drift) +
+                                    constants::lease_slack;
     }
     auto &commands = composed.commands;
     commands.insert(commands.end(), composed.starts.begin(), composed.starts.end());
@@ -162,7 +163,7 @@
 void command_composer::add_start(composition &composed, const catalog::job &job,
                                  catalog::attempt &attempt) const {
     const auto &machine = composed.machine;
-    if (attempt.inherited || !machine.usable() || job.over() ||
+    if (attempt.inherited || !machine.is_usable() || job.over() ||
         composed.permission == start_permission::withheld)
         return;
     if (attempt.phase == attempt_phase::committed) {
@@ -178,7 +179,7 @@
     composed.starts.push_back(command_for(attempt, command_kind::start, seconds{}));
 }
 
-bidding::room command_composer::room_after_stops(workers::machine &machine) const {
+bidding::room command_composer::resources_after_stops(workers::machine &machine) const {
     bidding::room room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
         bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
--- a/src/reconciliation/command_composer.hpp
+++ b/src/reconciliation/command_composer.hpp
@@ -20,7 +20,7 @@
     explicit command_composer(model::cluster_state &state) : state_(state) {}
 
     // The leadership begins: its token counts as raised just now.
-    void begin(time_point now) { last_token_raise_ = now; }
+    void begin_term(time_point now) { last_token_raise_ = now; }
 
     // Commands for the answer to the newest heartbeat.
     [[nodiscard]] std::vector<command> for_answer(const std::string &machine_name,
@@ -30,16 +30,16 @@
                                                           start_permission permission,
                                                           time_point now);
     // Whether every start among the commands is still wanted.
-    [[nodiscard]] bool starts_wanted(const std::vector<command> &commands) const;
+    [[nodiscard]] bool are_starts_current(const std::vector<command> &commands) const;
 
     // The worker has answered the direct command, or it was never sent.
-    void resolved(const std::string &machine_name);
+    void mark_resolved(const std::string &machine_name);
     // Nobody knows whether the direct command arrived or will yet arrive.
-    void unresolved(const std::string &machine_name, std::uint64_t token,
-                    std::uint64_t incarnation);
+    void mark_unresolved(const std::string &machine_name, std::uint64_t token,
+                         std::uint64_t incarnation);
     // A higher token would prove unresolved commands dead. Not too often: at true the raise counts
     // as done.
-    [[nodiscard]] bool wants_token_raise(time_point now);
+    [[nodiscard]] bool take_token_raise_request(time_point now);
 
   private:
     enum class channel { answer, direct };
@@ -53,7 +53,7 @@
     void add_start(composition &composed, const catalog::job &job, catalog::attempt &attempt) const;
     // The room on the machine once the commands to stop at once, which go before the starts, are
     // carried out.
-    [[nodiscard]] bidding::room room_after_stops(workers::machine &machine) const;
+    [[nodiscard]] bidding::room resources_after_stops(workers::machine &machine) const;
 
     model::cluster_state &state_;
     std::optional<time_point> last_token_raise_;
--- a/src/reconciliation/failure_review.cpp
+++ b/src/reconciliation/failure_review.cpp
@@ -5,17 +5,17 @@
 
 namespace spindlecroft::reconciliation {
 
-void failure_review::load_suspects(const std::vector<std::string> &jobs, time_point now) {
+void failure_review::restore_suspects(const std::vector<std::string> &jobs, time_point now) {
     for (const auto &id : jobs)
         if (state_.find_job(id))
-            state_.failures().load_suspect(id, now);
+            state_.failures().restore_suspect(id, now);
 }
 
-void failure_review::attempt_failed(workers::machine &machine, catalog::job &job,
-                                    const catalog::attempt &attempt, time_point now) {
+void failure_review::on_attempt_failed(workers::machine &machine, catalog::job &job,
+                                       const catalog::attempt &attempt, time_point now) {
     workers::failure_ledger::failure failure{job.spec.id, machine.name, attempt.ran_for(now),
                                              is_working(job)};
-    bool became_suspect = state_.failures().attempt_failed(failure, now);
+    bool became_suspect = state_.failures().record_failure(failure, now);
     if (became_suspect) {
         spdlog::info("{}: fails wherever it runs, retried one task at a time", job.spec.id);
         while (!job.queued.empty()) {
@@ -30,18 +30,18 @@
     quarantine_faulty();
 }
 
-void failure_review::attempt_completed(const catalog::job &job) {
-    state_.failures().job_ran(job.spec.id);
+void failure_review::on_attempt_completed(const catalog::job &job) {
+    state_.failures().note_job_works(job.spec.id);
     quarantine_faulty();
 }
 
 void failure_review::review() {
-    for (const auto &id : state_.failures().unproven_jobs()) {
+    for (const auto &id : state_.failures().jobs_with_failures()) {
         const auto *job = state_.find_job(id);
         if (!job || job->over())
             state_.failures().forget_job(id);
         else if (is_working(*job))
-            state_.failures().job_ran(id);
+            state_.failures().note_job_works(id);
     }
     quarantine_faulty();
     for (auto &[name, machine] : state_.machines())
@@ -57,7 +57,7 @@
 bool failure_review::is_working(const catalog::job &job) const {
     if (job.done_seen > 0)
         return true;
-    seconds proof = state_.failures().proof_duration(job.spec.id);
+    seconds proof = state_.failures().required_run_time(job.spec.id);
     // Between the first and the last report of it: without heartbeats nobody knows whether it still
     // runs.
     return std::any_of(job.live.begin(), job.live.end(), [&](const auto &entry) {
@@ -67,13 +67,13 @@
 }
 
 void failure_review::quarantine_faulty() {
-    for (const auto &name : state_.failures().take_faulty()) {
+    for (const auto &name : state_.failures().take_faulty_machines()) {
         auto *machine = state_.find_machine(name);
-        if (!machine || machine->quarantined)
+        if (!machine || machine->is_quarantined)
             continue;
         spdlog::info("{}: quarantined, tasks fail there", name);
-        machine->quarantined = true;
-        state_.withdraw_unstarted(*machine);
+        machine->is_quarantined = true;
+        state_.withdraw_unsent_attempts(*machine);
     }
 }
 
--- a/src/reconciliation/failure_review.hpp
+++ b/src/reconciliation/failure_review.hpp
@@ -14,11 +14,11 @@
     explicit failure_review(model::cluster_state &state) : state_(state) {}
 
     // Jobs that an earlier leader found to fail wherever they ran.
-    void load_suspects(const std::vector<std::string> &jobs, time_point now);
-    void attempt_failed(workers::machine &machine, catalog::job &job,
-                        const catalog::attempt &attempt, time_point now);
+    void restore_suspects(const std::vector<std::string> &jobs, time_point now);
+    void on_attempt_failed(workers::machine &machine, catalog::job &job,
+                           const catalog::attempt &attempt, time_point now);
     // A completed attempt shows that the job works.
-    void attempt_completed(const catalog::job &job);
+    void on_attempt_completed(const catalog::job &job);
     // To be called from time to time: attempts that run for long enough show that their jobs work.
     void review();
     // A suspect job is retried one task at a time, each after a pause.
--- a/src/reconciliation/heartbeat_reconciler.cpp
+++ b/src/reconciliation/heartbeat_reconciler.cpp
@@ -8,26 +8,27 @@
 
 namespace spindlecroft::reconciliation {
 
-heartbeat_age heartbeat_reconciler::reconcile(const heartbeat &received, heartbeat_origin origin,
-                                              time_point now) {
+heartbeat_freshness heartbeat_reconciler::reconcile(const heartbeat &received,
+                                                    heartbeat_origin origin, time_point now) {
     if (state_.was_removed(received.machine))
-        return heartbeat_age::dead;
-    auto &machine = state_.ensure_machine(received.machine, now);
-    state_.describe_machine(machine, received.type, received.zone, received.spot, received.address);
-    if (machine.heard_at && !received.newer_than(machine.incarnation, machine.sequence))
-        return received.incarnation == machine.incarnation ? heartbeat_age::stale
-                                                           : heartbeat_age::dead;
+        return heartbeat_freshness::obsolete;
+    auto &machine = state_.find_or_add_machine(received.machine, now);
+    state_.update_description(machine, received.type, received.zone, received.spot,
+                              received.address);
+    if (machine.last_message_at && !received.newer_than(machine.incarnation, machine.sequence))
+        return received.incarnation == machine.incarnation ? heartbeat_freshness::stale
+                                                           : heartbeat_freshness::obsolete;
     bool new_incarnation = note_message(machine, received, origin, now);
     auto starts = reconcile_tasks(machine, received, new_incarnation, now);
-    if (origin == heartbeat_origin::own)
-        partitions_.check(machine, received, new_incarnation, starts, now);
+    if (origin == heartbeat_origin::unsolicited)
+        partitions_.check_heartbeat(machine, received, new_incarnation, starts, now);
     reconcile_reclaim(machine, received, now);
     if (!machine.attempts.empty() || !machine.queue.empty())
         machine.idle_since = now;
-    return heartbeat_age::fresh;
+    return heartbeat_freshness::fresh;
 }
 
-bool heartbeat_reconciler::holds_nothing(const heartbeat &received) const {
+bool heartbeat_reconciler::has_no_tasks(const heartbeat &received) const {
     if (!received.tasks.empty())
         return false;
     const auto *machine = state_.find_machine(received.machine);
@@ -40,39 +41,41 @@
     });
 }
 
-void heartbeat_reconciler::note_answer(const std::string &machine_name, heartbeat_age age,
+void heartbeat_reconciler::note_answer(const std::string &machine_name, heartbeat_freshness age,
                                        time_point now) {
     auto *machine = state_.find_machine(machine_name);
     if (!machine)
         return;
-    machine->lease_bound = std::max(machine->lease_bound, lease_end(settings_, now));
+    machine->latest_lease_end =
+        std::max(machine->latest_lease_end, latest_lease_end(settings_, now));
     partitions_.note_answer(*machine, age, now);
 }
 
 bool heartbeat_reconciler::note_message(workers::machine &machine, const heartbeat &received,
                                         heartbeat_origin origin, time_point now) {
-    bool first = !machine.up;
-    bool new_incarnation = machine.heard_at && received.incarnation > machine.incarnation;
-    bool own = origin == heartbeat_origin::own;
+    bool first = !machine.is_up;
+    bool new_incarnation = machine.last_message_at && received.incarnation > machine.incarnation;
+    bool own = origin == heartbeat_origin::unsolicited;
     // Guards against running a task twice: the reply to a direct command may overtake an answer
     // that carries a start, and then does not show a task that the answer will yet begin. Only the
     // worker's next heartbeat of its own comes after that answer.
     if (own && received.newer_than(machine.answer_incarnation, machine.answer_sequence))
-        machine.answer_until.reset();
+        machine.answer_expires_at.reset();
     machine.incarnation = received.incarnation;
     machine.sequence = received.sequence;
     machine.token = received.token;
-    machine.heard_at = now;
-    if (own || !machine.own_heartbeat_at)
-        machine.own_heartbeat_at = now;
+    machine.last_message_at = now;
+    if (own || !machine.last_heartbeat_at)
+        machine.last_heartbeat_at = now;
     // Guards against running a task twice: a new incarnation's lease began by itself, before any
     // answer of ours, and direct commands start tasks in it while heartbeats go unanswered.
-    if (!machine.incarnation_at || new_incarnation)
-        machine.incarnation_at = now;
+    if (!machine.incarnation_seen_at || new_incarnation)
+        machine.incarnation_seen_at = now;
     if (first || new_incarnation)
-        machine.lease_bound = std::max(machine.lease_bound, lease_end(settings_, now));
+        machine.latest_lease_end =
+            std::max(machine.latest_lease_end, latest_lease_end(settings_, now));
     if (first) {
-        machine.up = true;
+        machine.is_up = true;
         machine.up_at = now;
         machine.idle_since = now;
         state_.request_planning();
@@ -87,7 +90,7 @@
                                                      bool new_incarnation, time_point now) {
     machine.cleanup_commands.clear();
     if (!received.tasks.empty() || !machine.attempts.empty())
-        machine.touch();
+        machine.mark_changed();
     std::set<catalog::task_ref> listed;
     for (const auto &status : received.tasks) {
         listed.insert({status.job, status.index});
@@ -108,7 +111,7 @@
         }
         auto &job = *state_.find_job(task.job);
         auto evidence = tasks_.reconcile_missing(machine, job, *attempt, seen, now);
-        if (evidence == start_evidence::ignored)
+        if (evidence == start_evidence::not_received)
             starts = evidence;
     }
     return starts;
@@ -125,7 +128,7 @@
 void heartbeat_reconciler::begin_reclaim(workers::machine &machine, seconds notice,
                                          time_point now) {
     machine.reclaim_at = now + notice;
-    state_.withdraw_unstarted(machine);
+    state_.withdraw_unsent_attempts(machine);
     // What can't finish or save in time starts again elsewhere at once.
     state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
         seconds ran = attempt.ran_for(now);
--- a/src/reconciliation/heartbeat_reconciler.hpp
+++ b/src/reconciliation/heartbeat_reconciler.hpp
@@ -4,7 +4,7 @@
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
 #include "reconciliation/failure_review.hpp"
-#include "reconciliation/heartbeat_age.hpp"
+#include "reconciliation/heartbeat_freshness.hpp"
 #include "reconciliation/partition_detector.hpp"
 #include "reconciliation/task_reconciler.hpp"
 #include "settings/settings.hpp"
@@ -23,11 +23,12 @@
 
     // Takes in a heartbeat. One that is not fresh changes nothing but the description of its
     // machine.
-    heartbeat_age reconcile(const heartbeat &received, heartbeat_origin origin, time_point now);
+    heartbeat_freshness reconcile(const heartbeat &received, heartbeat_origin origin,
+                                  time_point now);
     // Neither the heartbeat nor what is possibly running on its machine names a task.
-    [[nodiscard]] bool holds_nothing(const heartbeat &received) const;
+    [[nodiscard]] bool has_no_tasks(const heartbeat &received) const;
     // A heartbeat of this age was answered: the worker's lease may now last until then.
-    void note_answer(const std::string &machine_name, heartbeat_age age, time_point now);
+    void note_answer(const std::string &machine_name, heartbeat_freshness age, time_point now);
 
   private:
     // Notes the message itself; returns whether it is the first of a new incarnation.
--- a/src/reconciliation/lease_monitor.cpp
+++ b/src/reconciliation/lease_monitor.cpp
@@ -1,7 +1,7 @@
 // Expired leases and cancelled tasks that are still there.
 #include "reconciliation/lease_monitor.hpp"
 #include "constants.hpp"
-#include "workers/proven_gone.hpp"
+#include "workers/attempt_liveness.hpp"
 
 namespace spindlecroft::reconciliation {
 
@@ -9,12 +9,13 @@
     const workers::observation expired{workers::evidence::lease_expired, state_.term().first_token,
                                        now};
     for (auto &[name, machine] : state_.machines()) {
-        if (now <= machine.lease_bound || machine.attempts.empty())
+        if (now <= machine.latest_lease_end || machine.attempts.empty())
             continue;
         auto tasks = machine.attempts; // a copy: releasing changes the set
         for (const auto &task : tasks) {
             const auto *attempt = state_.find_attempt(task);
-            if (attempt && judge(*attempt, machine, expired) == workers::verdict::gone)
+            if (attempt &&
+                assess_attempt(*attempt, machine, expired) == workers::attempt_liveness::gone)
                 state_.release_attempt(*state_.find_job(task.job), task.index, true);
         }
     }
@@ -32,12 +33,13 @@
 void lease_monitor::enforce_cancellation(const catalog::job &job, const catalog::attempt &attempt,
                                          time_point now) {
     auto *machine = state_.find_machine(attempt.machine);
-    if (!machine || machine->deleting)
+    if (!machine || machine->is_deleting)
         return;
     if (now - job.cancelled_at > constants::cancel_delete_share * settings_.cancel_deadline)
         state_.request_deletion(*machine, "a cancelled task may still be there");
-    else if (!machine->heard_at || now - *machine->heard_at > settings_.heartbeat_interval / 2)
-        state_.mark_urgent(attempt.machine);
+    else if (!machine->last_message_at ||
+             now - *machine->last_message_at > settings_.heartbeat_interval / 2)
+        state_.mark_for_direct_command(attempt.machine);
 }
 
 } // namespace spindlecroft::reconciliation
--- a/src/reconciliation/lease_time.hpp
+++ b/src/reconciliation/lease_time.hpp
@@ -7,13 +7,13 @@
 namespace spindlecroft::reconciliation {
 
 // The longest that a lease may last, given that the worker's clock may be slower than ours.
-[[nodiscard]] inline seconds longest_lease(const settings::settings &settings) {
+[[nodiscard]] inline seconds max_lease_duration(const settings::settings &settings) {
     return settings.lease_duration * (1 + constants::clock_drift) + constants::lease_slack;
 }
 
 // When a lease that is renewed at `renewed_at` has surely ended.
-[[nodiscard]] inline time_point lease_end(const settings::settings &settings,
-                                          time_point renewed_at) {
+[[nodiscard]] inline time_point latest_lease_end(const settings::settings &settings,
+                                                 time_point renewed_at) {
     return renewed_at + settings.lease_duration * (1 + constants::clock_drift) +
            constants::lease_slack;
 }
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -76,17 +76,17 @@
 start_evidence task_reconciler::reconcile_missing(workers::machine &machine, catalog::job &job,
                                                   catalog::attempt &attempt, workers::evidence seen,
                                                   time_point now) {
-    auto verdict = judge(attempt, machine, {seen, state_.term().first_token, now});
-    if (verdict == workers::verdict::still_possible)
+    auto liveness = assess_attempt(attempt, machine, {seen, state_.term().first_token, now});
+    if (liveness == workers::attempt_liveness::possibly_live)
         return start_evidence::none;
     // A new incarnation ended the task: that says nothing of whether the start arrived.
     bool start_ignored = seen == workers::evidence::missing_from_heartbeat &&
                          attempt.phase == attempt_phase::sent && !attempt.inherited;
-    if (verdict == workers::verdict::send_again)
+    if (liveness == workers::attempt_liveness::start_dropped)
         attempt.phase = attempt_phase::committed;
     else
         state_.release_attempt(job, attempt.task.index, true);
-    return start_ignored ? start_evidence::ignored : start_evidence::none;
+    return start_ignored ? start_evidence::not_received : start_evidence::none;
 }
 
 void task_reconciler::reconcile_unknown(workers::machine &machine, catalog::job *job,
@@ -103,7 +103,7 @@
                                              const task_status &status, time_point now) {
     // A completed task is completed, whoever started it.
     if (is_new_result(job, status)) {
-        task_done(*job, status.index, now);
+        mark_task_done(*job, status.index, now);
         if (auto *other = state_.find_attempt({status.job, status.index})) {
             if (other->possibly_running())
                 state_.request_stop(*other, seconds{});
@@ -127,10 +127,10 @@
                       machine.zone, (now - job.accepted_at).count(),
                       (now - attempt.created_at).count());
     }
-    state_.failures().machine_ran(machine.name, attempt.created_at);
+    state_.failures().note_machine_works(machine.name, attempt.created_at);
     attempt.phase = attempt_phase::running;
     attempt.running_seen = now;
-    machine.use_image(job.spec.image, job.spec.image_gb, now);
+    machine.note_image_use(job.spec.image, job.spec.image_gb, now);
 }
 
 void task_reconciler::reconcile_exited(workers::machine &machine, catalog::job &job,
@@ -146,7 +146,7 @@
         attempt_completed(machine, job, attempt, now);
         break;
     case exit_cause::error:
-        failures_.attempt_failed(machine, job, attempt, now);
+        failures_.on_attempt_failed(machine, job, attempt, now);
         break;
     case exit_cause::no_room:
     case exit_cause::busy:
@@ -169,15 +169,15 @@
 
 void task_reconciler::attempt_completed(workers::machine &machine, catalog::job &job,
                                         const catalog::attempt &attempt, time_point now) {
-    state_.failures().machine_ran(machine.name, attempt.created_at);
-    machine.use_image(job.spec.image, job.spec.image_gb, now);
+    state_.failures().note_machine_works(machine.name, attempt.created_at);
+    machine.note_image_use(job.spec.image, job.spec.image_gb, now);
     if (job.spec.shape == job_shape::array && !job.over()) {
         seconds ran = attempt.ran_for(now);
         if (ran > seconds{})
             measure_run_time(machine, job, ran);
-        task_done(job, attempt.task.index, now);
+        mark_task_done(job, attempt.task.index, now);
     }
-    failures_.attempt_completed(job);
+    failures_.on_attempt_completed(job);
 }
 
 void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job, seconds ran) {
@@ -195,10 +195,10 @@
     state_.estimates().measured(job.spec.job_class, job.spec.estimate, normal);
 }
 
-void task_reconciler::task_done(catalog::job &job, std::uint32_t index, time_point now) {
+void task_reconciler::mark_task_done(catalog::job &job, std::uint32_t index, time_point now) {
     if (job.over() || job.done[index])
         return;
-    take_from_waiting(job, index);
+    remove_from_waiting(job, index);
     job.done[index] = true;
     ++job.done_seen;
     on_done_(job, index, now);
@@ -206,7 +206,7 @@
 
 void task_reconciler::adopt(workers::machine &machine, catalog::job &job, const task_status &status,
                             time_point now) {
-    take_from_waiting(job, status.index);
+    remove_from_waiting(job, status.index);
     catalog::attempt adopted;
     adopted.task = {status.job, status.index};
     adopted.number = status.attempt;
@@ -221,7 +221,7 @@
                  status.attempt);
 }
 
-void task_reconciler::take_from_waiting(catalog::job &job, std::uint32_t index) {
+void task_reconciler::remove_from_waiting(catalog::job &job, std::uint32_t index) {
     state_.remove_from_queue(job, index);
     job.again.erase(index);
     // Tasks before it that were never placed stay waiting.
--- a/src/reconciliation/task_reconciler.hpp
+++ b/src/reconciliation/task_reconciler.hpp
@@ -5,7 +5,7 @@
 #include "reconciliation/failure_review.hpp"
 #include "reconciliation/partition_detector.hpp"
 #include "wire/types.hpp"
-#include "workers/proven_gone.hpp"
+#include "workers/attempt_liveness.hpp"
 #include <cstdint>
 #include <functional>
 #include <utility>
@@ -40,12 +40,12 @@
     void attempt_completed(workers::machine &machine, catalog::job &job,
                            const catalog::attempt &attempt, time_point now);
     void measure_run_time(workers::machine &machine, catalog::job &job, seconds ran);
-    void task_done(catalog::job &job, std::uint32_t index, time_point now);
+    void mark_task_done(catalog::job &job, std::uint32_t index, time_point now);
     // A task that runs without our knowing must count everywhere until it is stopped.
     void adopt(workers::machine &machine, catalog::job &job, const task_status &status,
                time_point now);
     // The task is neither queued nor waiting any more.
-    void take_from_waiting(catalog::job &job, std::uint32_t index);
+    void remove_from_waiting(catalog::job &job, std::uint32_t index);
 
     model::cluster_state &state_;
     failure_review &failures_;
--- a/src/records/job_loader.cpp
+++ b/src/records/job_loader.cpp
@@ -36,7 +36,7 @@
     loaded.own_priority = record.spec.priority;
     auto &kept = state_.add_job(id, std::move(loaded));
     if (kept.spec.shape == job_shape::array || !record.cancelled)
-        state_.note_workload(kept.spec, now);
+        state_.note_accepted_job(kept.spec, now);
     dependencies_.add(kept, now);
     if (record.cancelled && !kept.cancelled)
         dependencies_.cancel(kept, record.cancelled_at, now);
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -50,7 +50,7 @@
     attempt.created_at = now;
     attempt.estimate = state_.estimates().expected_run_time(job->spec);
     attempt.stop_wanted = job->cancelled;
-    state_.ensure_machine(task.machine, now);
+    state_.find_or_add_machine(task.machine, now);
     state_.add_attempt(*job, std::move(attempt));
 }
 
@@ -213,12 +213,12 @@
     if (!attempt || attempt->phase != attempt_phase::committing)
         return;
     const auto *machine = state_.find_machine(attempt->machine);
-    if (!ok || job->over() || !machine || !machine->usable()) {
+    if (!ok || job->over() || !machine || !machine->is_usable()) {
         state_.release_attempt(*job, placed.task.index, true);
         return;
     }
     attempt->phase = attempt_phase::committed;
-    state_.mark_urgent(attempt->machine);
+    state_.mark_for_direct_command(attempt->machine);
 }
 
 // --- ended ---
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -12,7 +12,7 @@
     stored_ = jobs;
     for (const auto &id : jobs)
         if (state_.find_job(id))
-            state_.failures().load_suspect(id, now);
+            state_.failures().restore_suspect(id, now);
 }
 
 // Guards against a new leader that tries every task of a job that fails everywhere once more, and
--- a/src/workers/proven_gone.cpp
+++ b/src/workers/attempt_liveness.cpp
@@ -1,5 +1,5 @@
 // The proofs that an attempt is gone.
-#include "workers/proven_gone.hpp"
+#include "workers/attempt_liveness.hpp"
 
 namespace spindlecroft::workers {
 
@@ -12,62 +12,62 @@
     return attempt.phase == attempt_phase::exited && attempt.cause == exit_cause::done;
 }
 
-verdict gone_if(bool proven) {
-    return proven ? verdict::gone : verdict::still_possible;
+attempt_liveness gone_if(bool proven) {
+    return proven ? attempt_liveness::gone : attempt_liveness::possibly_live;
 }
 
 // No heartbeat of the worker has listed the attempt yet.
-verdict judge_unlisted_start(const catalog::attempt &attempt, const machine &machine,
-                             const observation &observed) {
+attempt_liveness assess_unlisted_start(const catalog::attempt &attempt, const machine &machine,
+                                       const observation &observed) {
     if (attempt.inherited)
         return gone_if(machine.token >= observed.first_token);
     bool answer_dropped =
         attempt.sent_incarnation == machine.incarnation && machine.sequence > attempt.sent_sequence;
     if (!answer_dropped)
-        return verdict::still_possible;
-    if (attempt.stop_wanted || !machine.usable())
-        return verdict::gone;
-    return verdict::send_again;
+        return attempt_liveness::possibly_live;
+    if (attempt.stop_wanted || !machine.is_usable())
+        return attempt_liveness::gone;
+    return attempt_liveness::start_dropped;
 }
 
-verdict judge_missing(const catalog::attempt &attempt, const machine &machine,
-                      const observation &observed) {
+attempt_liveness assess_missing(const catalog::attempt &attempt, const machine &machine,
+                                const observation &observed) {
     switch (attempt.phase) {
     case attempt_phase::committing:
     case attempt_phase::committed:
-        return verdict::still_possible; // not sent yet
+        return attempt_liveness::possibly_live; // not sent yet
     case attempt_phase::exited:
         // Forgotten by the worker, or its incarnation is over.
         return gone_if(!is_result(attempt));
     case attempt_phase::sent:
         if (machine.has_unacknowledged_command(observed.now))
-            return verdict::still_possible; // a start may still arrive
-        return judge_unlisted_start(attempt, machine, observed);
+            return attempt_liveness::possibly_live; // a start may still arrive
+        return assess_unlisted_start(attempt, machine, observed);
     case attempt_phase::fetching:
     case attempt_phase::running:
     case attempt_phase::checkpointing:
         return gone_if(!machine.has_unacknowledged_command(observed.now));
     }
-    return verdict::still_possible;
+    return attempt_liveness::possibly_live;
 }
 
 } // namespace
 
-verdict judge(const catalog::attempt &attempt, const machine &machine,
-              const observation &observed) {
+attempt_liveness assess_attempt(const catalog::attempt &attempt, const machine &machine,
+                                const observation &observed) {
     switch (observed.seen) {
     case evidence::missing_from_heartbeat:
-        return judge_missing(attempt, machine, observed);
+        return assess_missing(attempt, machine, observed);
     case evidence::new_incarnation:
         if (attempt.possibly_running() && !attempt.inherited)
-            return verdict::gone;
-        return judge_missing(attempt, machine, observed);
+            return attempt_liveness::gone;
+        return assess_missing(attempt, machine, observed);
     case evidence::lease_expired:
         return gone_if(attempt.possibly_running());
     case evidence::machine_removed:
         return gone_if(!is_result(attempt));
     }
-    return verdict::still_possible;
+    return attempt_liveness::possibly_live;
 }
 
 } // namespace spindlecroft::workers
--- a/src/workers/proven_gone.hpp
+++ b/src/workers/attempt_liveness.hpp
@@ -31,10 +31,10 @@
 };
 
 // What follows for the attempt.
-enum class verdict {
-    still_possible, // it may run, or its result is being recorded
-    gone,           // its task may be placed again
-    send_again,     // its start was dropped: it may be sent to the same machine again
+enum class attempt_liveness {
+    possibly_live, // it may run, or its result is being recorded
+    gone,          // its task may be placed again
+    start_dropped, // its start was dropped: it may be sent to the same machine again
 };
 
 struct observation {
@@ -43,7 +43,7 @@
     time_point now{};
 };
 
-[[nodiscard]] verdict judge(const catalog::attempt &attempt, const machine &machine,
-                            const observation &observed);
+[[nodiscard]] attempt_liveness assess_attempt(const catalog::attempt &attempt,
+                                              const machine &machine, const observation &observed);
 
 } // namespace spindlecroft::workers
--- a/src/workers/failure_ledger.cpp
+++ b/src/workers/failure_ledger.cpp
@@ -8,15 +8,15 @@
 
 namespace c = constants;
 
-bool failure_ledger::attempt_failed(const failure &found, time_point now) {
+bool failure_ledger::record_failure(const failure &found, time_point now) {
     auto &machine = machines_[found.machine];
-    if (found.job_runs) {
+    if (found.is_job_working) {
         faulty_.insert(found.machine);
         return false;
     }
     auto &job = jobs_[found.job];
     job.failed_at[found.machine] = now;
-    job.longest_run = std::max(job.longest_run, found.ran);
+    job.longest_run = std::max(job.longest_run, found.run_time);
     if (job.suspect) {
         delay_retry(job, now);
         return false;
@@ -25,9 +25,9 @@
         make_suspect(found.job, job, now);
         return true;
     }
-    machine.undecided.insert(found.job);
+    machine.unattributed_jobs.insert(found.job);
     machine.probation_until = now + c::probation;
-    if (machine.undecided.size() >= c::undecided_jobs)
+    if (machine.unattributed_jobs.size() >= c::undecided_jobs)
         faulty_.insert(found.machine);
     return false;
 }
@@ -35,17 +35,17 @@
 void failure_ledger::make_suspect(const std::string &job, job_entry &entry, time_point now) {
     entry.suspect = true;
     delay_retry(entry, now);
-    acquit_machines(job, entry);
+    clear_machines(job, entry);
 }
 
 // Guards against healthy machines that are given back because faulty jobs met on them.
-void failure_ledger::acquit_machines(const std::string &job, const job_entry &entry) {
+void failure_ledger::clear_machines(const std::string &job, const job_entry &entry) {
     for (auto &[machine, at] : entry.failed_at) {
         auto i = machines_.find(machine);
         if (i == machines_.end())
             continue;
-        i->second.undecided.erase(job);
-        if (i->second.undecided.empty())
+        i->second.unattributed_jobs.erase(job);
+        if (i->second.unattributed_jobs.empty())
             i->second.probation_until = {};
     }
 }
@@ -58,32 +58,33 @@
     ++entry.suspect_failures;
 }
 
-void failure_ledger::machine_ran(const std::string &machine, time_point created_at) {
+void failure_ledger::note_machine_works(const std::string &machine, time_point created_at) {
     auto found = machines_.find(machine);
     if (found == machines_.end())
         return; // nothing failed there
     auto &entry = found->second;
-    entry.ran_at = std::max(entry.ran_at, created_at);
-    for (auto i = entry.undecided.begin(); i != entry.undecided.end();) {
+    entry.last_working_attempt_at = std::max(entry.last_working_attempt_at, created_at);
+    for (auto i = entry.unattributed_jobs.begin(); i != entry.unattributed_jobs.end();) {
         auto job = jobs_.find(*i);
         bool older = job == jobs_.end() || job->second.failed_at[machine] < created_at;
-        i = older ? entry.undecided.erase(i) : std::next(i);
+        i = older ? entry.unattributed_jobs.erase(i) : std::next(i);
     }
-    if (entry.undecided.empty())
+    if (entry.unattributed_jobs.empty())
         entry.probation_until = {};
 }
 
-void failure_ledger::job_ran(const std::string &job) {
+void failure_ledger::note_job_works(const std::string &job) {
     auto i = jobs_.find(job);
     if (i == jobs_.end())
         return;
     for (auto &[machine, failed_at] : i->second.failed_at) {
         auto known = machines_.find(machine);
-        bool ran_since = known != machines_.end() && known->second.ran_at > failed_at;
+        bool ran_since =
+            known != machines_.end() && known->second.last_working_attempt_at > failed_at;
         if (!ran_since)
             faulty_.insert(machine);
     }
-    acquit_machines(job, i->second);
+    clear_machines(job, i->second);
     jobs_.erase(i);
 }
 
@@ -91,7 +92,7 @@
     auto i = jobs_.find(job);
     if (i == jobs_.end())
         return;
-    acquit_machines(job, i->second);
+    clear_machines(job, i->second);
     jobs_.erase(i);
 }
 
@@ -100,7 +101,7 @@
     faulty_.erase(machine);
 }
 
-std::set<std::string> failure_ledger::take_faulty() {
+std::set<std::string> failure_ledger::take_faulty_machines() {
     return std::exchange(faulty_, {});
 }
 
@@ -114,7 +115,7 @@
     return i != jobs_.end() && i->second.failed_at.count(machine) > 0;
 }
 
-std::size_t failure_ledger::failed_machines(const std::string &job) const {
+std::size_t failure_ledger::failed_machine_count(const std::string &job) const {
     auto i = jobs_.find(job);
     return i == jobs_.end() ? 0 : i->second.failed_at.size();
 }
@@ -129,13 +130,13 @@
     return i == machines_.end() ? time_point{} : i->second.probation_until;
 }
 
-seconds failure_ledger::proof_duration(const std::string &job) const {
+seconds failure_ledger::required_run_time(const std::string &job) const {
     auto i = jobs_.find(job);
     auto failed_run = i == jobs_.end() ? seconds{0} : i->second.longest_run;
     return c::proof_least + c::proof_runs * failed_run;
 }
 
-std::vector<std::string> failure_ledger::unproven_jobs() const {
+std::vector<std::string> failure_ledger::jobs_with_failures() const {
     std::vector<std::string> out;
     for (auto &[job, entry] : jobs_)
         out.push_back(job);
@@ -150,7 +151,7 @@
     return out;
 }
 
-void failure_ledger::load_suspect(const std::string &job, time_point now) {
+void failure_ledger::restore_suspect(const std::string &job, time_point now) {
     auto &entry = jobs_[job];
     entry.suspect = true;
     delay_retry(entry, now);
--- a/src/workers/failure_ledger.hpp
+++ b/src/workers/failure_ledger.hpp
@@ -17,39 +17,39 @@
   public:
     struct failure {
         std::string job, machine;
-        seconds ran{};         // how long the attempt was seen running
-        bool job_runs = false; // the job is known to run on other machines
+        seconds run_time{};          // how long the attempt was seen running
+        bool is_job_working = false; // the job is known to run on other machines
     };
     // Returns true if this made the job suspect.
-    bool attempt_failed(const failure &found, time_point now);
+    bool record_failure(const failure &found, time_point now);
     // An attempt placed at created_at was seen running on, or completed by, the machine.
-    void machine_ran(const std::string &machine, time_point created_at);
+    void note_machine_works(const std::string &machine, time_point created_at);
     // The job is known to run. Machines on which it failed, and which ran nothing since, are
     // faulty.
-    void job_ran(const std::string &job);
+    void note_job_works(const std::string &job);
     void forget_job(const std::string &job);
     void forget_machine(const std::string &machine);
 
     // Machines found faulty since the last call.
-    std::set<std::string> take_faulty();
+    std::set<std::string> take_faulty_machines();
 
     bool is_suspect(const std::string &job) const;
     bool failed_on(const std::string &job, const std::string &machine) const;
     // On how many machines the job failed.
-    std::size_t failed_machines(const std::string &job) const;
+    std::size_t failed_machine_count(const std::string &job) const;
     // The time before which a suspect job is not retried.
     time_point retry_at(const std::string &job) const;
     // While it is not known whose fault a failure was, the machine gets no new work until then.
     // time_point{}: it is on no probation.
     time_point probation_until(const std::string &machine) const;
     // An attempt that runs for longer than this shows that the job works.
-    seconds proof_duration(const std::string &job) const;
+    seconds required_run_time(const std::string &job) const;
     // Jobs with a failure that do not count as working, to be looked at from time to time.
-    std::vector<std::string> unproven_jobs() const;
+    std::vector<std::string> jobs_with_failures() const;
 
     // The suspect jobs survive a change of leader in a record.
     std::vector<std::string> suspects() const;
-    void load_suspect(const std::string &job, time_point now);
+    void restore_suspect(const std::string &job, time_point now);
 
   private:
     struct job_entry {
@@ -60,12 +60,13 @@
         bool suspect = false;
     };
     struct machine_entry {
-        std::set<std::string> undecided; // jobs that failed there and are neither suspect nor run
+        std::set<std::string>
+            unattributed_jobs; // jobs that failed there and are neither suspect nor run
         time_point probation_until{};
-        time_point ran_at{}; // creation of the latest attempt that ran there
+        time_point last_working_attempt_at{}; // creation of the latest attempt that ran there
     };
     void make_suspect(const std::string &job, job_entry &entry, time_point now);
-    void acquit_machines(const std::string &job, const job_entry &entry);
+    void clear_machines(const std::string &job, const job_entry &entry);
     static void delay_retry(job_entry &entry, time_point now);
 
     std::map<std::string, job_entry> jobs_;
--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -11,13 +11,13 @@
 TEST(machines, keep_the_most_recent_images_that_fit) {
     workers::machine m;
     m.type.cache_gb = 10;
-    m.use_image("a", 4, at(1));
-    m.use_image("b", 4, at(2));
-    m.use_image("a", 4, at(3));
-    m.use_image("c", 4, at(4));
-    EXPECT_TRUE(m.images.count("a"));
-    EXPECT_FALSE(m.images.count("b"));
-    EXPECT_TRUE(m.images.count("c"));
+    m.note_image_use("a", 4, at(1));
+    m.note_image_use("b", 4, at(2));
+    m.note_image_use("a", 4, at(3));
+    m.note_image_use("c", 4, at(4));
+    EXPECT_TRUE(m.image_last_used.count("a"));
+    EXPECT_FALSE(m.image_last_used.count("b"));
+    EXPECT_TRUE(m.image_last_used.count("c"));
 }
 
 TEST(jobs, a_hundred_thousand_tasks_are_ranges) {
--- a/tests/failure_ledger_test.cpp
+++ b/tests/failure_ledger_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 bool fail(workers::failure_ledger &ledger, const std::string &job, const std::string &machine,
-          time_point now, bool job_runs = false) {
-    return ledger.attempt_failed({job, machine, 0s, job_runs}, now);
+          time_point now, bool is_job_working = false) {
+    return ledger.record_failure({job, machine, 0s, is_job_working}, now);
 }
 
 } // namespace
@@ -22,17 +22,17 @@
 TEST(failure_ledger, a_machine_that_fails_a_working_job_is_faulty_at_once) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(10), true);
-    EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
-    EXPECT_TRUE(ledger.take_faulty().empty());
+    EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
+    EXPECT_TRUE(ledger.take_faulty_machines().empty());
 }
 
 TEST(failure_ledger, a_machine_waits_on_probation_until_the_job_runs_elsewhere) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(10));
-    EXPECT_TRUE(ledger.take_faulty().empty());
+    EXPECT_TRUE(ledger.take_faulty_machines().empty());
     EXPECT_GT(ledger.probation_until("i-1"), at(10));
-    ledger.job_ran("job-1");
-    EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
+    ledger.note_job_works("job-1");
+    EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
 // Guards against quarantining healthy machines on which faulty jobs met: on a day with a twentieth
@@ -44,7 +44,7 @@
         for (auto *job : {"job-1", "job-2", "job-3", "job-4", "job-5"})
             for (auto *machine : {"i-1", "i-2", "i-3"})
                 fail(ledger, job, machine, now += seconds{0.5});
-    EXPECT_TRUE(ledger.take_faulty().empty());
+    EXPECT_TRUE(ledger.take_faulty_machines().empty());
     for (auto *machine : {"i-1", "i-2", "i-3"})
         EXPECT_EQ(ledger.probation_until(machine), at(0)) << machine;
     EXPECT_TRUE(ledger.is_suspect("job-1"));
@@ -55,8 +55,8 @@
     fail(ledger, "faulty-job", "i-1", at(1));
     fail(ledger, "faulty-job", "i-2", at(2));
     fail(ledger, "good-job", "i-1", at(3));
-    ledger.job_ran("good-job");
-    EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
+    ledger.note_job_works("good-job");
+    EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
 TEST(failure_ledger, a_job_that_met_two_faulty_machines_convicts_both_once_it_runs) {
@@ -64,29 +64,29 @@
     fail(ledger, "job-1", "i-1", at(1));
     EXPECT_TRUE(fail(ledger, "job-1", "i-2", at(2)));
     EXPECT_TRUE(ledger.is_suspect("job-1"));
-    ledger.job_ran("job-1");
+    ledger.note_job_works("job-1");
     EXPECT_FALSE(ledger.is_suspect("job-1"));
-    EXPECT_EQ(ledger.take_faulty(), (names{"i-1", "i-2"}));
+    EXPECT_EQ(ledger.take_faulty_machines(), (names{"i-1", "i-2"}));
 }
 
 TEST(failure_ledger, a_machine_that_ran_something_since_is_not_faulty) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(1));
-    ledger.machine_ran("i-1", at(0.5)); // placed before the failure: proves nothing
+    ledger.note_machine_works("i-1", at(0.5)); // placed before the failure: proves nothing
     EXPECT_GT(ledger.probation_until("i-1"), at(1));
-    ledger.machine_ran("i-1", at(2));
+    ledger.note_machine_works("i-1", at(2));
     EXPECT_EQ(ledger.probation_until("i-1"), at(0));
-    ledger.job_ran("job-1");
-    EXPECT_TRUE(ledger.take_faulty().empty());
+    ledger.note_job_works("job-1");
+    EXPECT_TRUE(ledger.take_faulty_machines().empty());
 }
 
 TEST(failure_ledger, a_machine_that_fails_all_it_is_given_is_faulty_though_nothing_runs_elsewhere) {
     workers::failure_ledger ledger;
     for (std::size_t k = 0; k < constants::undecided_jobs; ++k) {
-        EXPECT_TRUE(ledger.take_faulty().empty());
+        EXPECT_TRUE(ledger.take_faulty_machines().empty());
         fail(ledger, "job-" + std::to_string(k), "i-1", at(static_cast<double>(k)));
     }
-    EXPECT_EQ(ledger.take_faulty(), names{"i-1"});
+    EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
 TEST(failure_ledger, a_suspect_job_is_retried_at_growing_intervals) {
@@ -112,9 +112,9 @@
 
 TEST(failure_ledger, what_failed_late_needs_a_longer_run_as_proof) {
     workers::failure_ledger ledger;
-    EXPECT_EQ(ledger.proof_duration("job-1"), constants::proof_least);
-    ledger.attempt_failed({"job-1", "i-1", 8s, false}, at(10));
-    EXPECT_GT(ledger.proof_duration("job-1"), 8s * constants::proof_runs);
+    EXPECT_EQ(ledger.required_run_time("job-1"), constants::proof_least);
+    ledger.record_failure({"job-1", "i-1", 8s, false}, at(10));
+    EXPECT_GT(ledger.required_run_time("job-1"), 8s * constants::proof_runs);
 }
 
 TEST(failure_ledger, suspects_survive_a_change_of_leader) {
@@ -126,7 +126,7 @@
     EXPECT_LE(record.size(), wire::suspects_bytes("") + wire::suspects_bytes("job-1"));
     workers::failure_ledger next;
     for (auto &job : wire::parse_suspects(record))
-        next.load_suspect(job, at(5));
+        next.restore_suspect(job, at(5));
     EXPECT_TRUE(next.is_suspect("job-1"));
     EXPECT_FALSE(next.is_suspect("job-2"));
     EXPECT_FALSE(fail(next, "job-1", "i-1", at(20)));
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -26,9 +26,9 @@
     fleet_parts() { state.begin_term({5, 5, at(0), wall_clock{}}); }
 
     workers::machine &add_running(const std::string &name, const std::string &zone) {
-        auto &machine = state.ensure_machine(name, at(0));
-        state.describe_machine(machine, "large", zone, false, "10.0.0.1:9000");
-        machine.up = true;
+        auto &machine = state.find_or_add_machine(name, at(0));
+        state.update_description(machine, "large", zone, false, "10.0.0.1:9000");
+        machine.is_up = true;
         return machine;
     }
     void add_array(const std::string &id, double cpus, std::uint32_t tasks) {
@@ -91,7 +91,7 @@
     offers.add_pending(cheapest_small, 1);
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
 
-    offers.note_filled(cheapest_small);
+    offers.note_fulfilled(cheapest_small);
     EXPECT_EQ(cheapest_key(offers, later), cheapest_small);
 }
 
@@ -109,15 +109,15 @@
 TEST_F(offers_test, work_waits_longer_where_on_demand_machines_are_dearer) {
     auto types = test::small_types();
     fleet::offer_catalog offers(state);
-    EXPECT_DOUBLE_EQ(offers.on_demand_patience(test::small_job("job-1")), 2.5);
+    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), 2.5);
     for (auto &type : types)
         type.price = 100 * type.spot_price;
     state.set_types(types);
-    EXPECT_DOUBLE_EQ(offers.on_demand_patience(test::small_job("job-1")), c::ordinary_patience);
+    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), c::ordinary_patience);
     for (auto &type : types)
         type.spot_price = 0;
     state.set_types(types);
-    EXPECT_DOUBLE_EQ(offers.on_demand_patience(test::small_job("job-1")), 1);
+    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), 1);
 }
 
 // --- rental requests ---
@@ -154,7 +154,7 @@
     EXPECT_EQ(sent[0].request, changes[0].record->requests.at(0).request);
     EXPECT_EQ(sent[0].count, 2);
     EXPECT_TRUE(requests.take_requests(at(3)).empty()) << "it is under way";
-    requests.on_unclear_answer(sent[0].request, at(4));
+    requests.on_outcome_unknown(sent[0].request, at(4));
     EXPECT_TRUE(requests.take_requests(at(4)).empty());
     EXPECT_EQ(requests.take_requests(at(4) + c::rental_retry).size(), 1u);
 }
@@ -224,64 +224,64 @@
 TEST_F(machine_health_test, a_silent_machine_is_deleted) {
     fleet::machine_health health(settings, state);
     for (int k = 0; k < 5; ++k)
-        add_running(fmt::format("i-{}", k), "a").own_heartbeat_at = at(20);
+        add_running(fmt::format("i-{}", k), "a").last_heartbeat_at = at(20);
     auto &silent = add_running("i-9", "a");
-    silent.own_heartbeat_at = at(1);
+    silent.last_heartbeat_at = at(1);
     health.check(at(20));
-    EXPECT_TRUE(silent.silent);
-    EXPECT_TRUE(silent.deleting);
-    EXPECT_FALSE(state.find_machine("i-0")->deleting);
+    EXPECT_TRUE(silent.is_silent);
+    EXPECT_TRUE(silent.is_deleting);
+    EXPECT_FALSE(state.find_machine("i-0")->is_deleting);
 }
 
 TEST_F(machine_health_test, a_zone_that_falls_silent_as_a_whole_is_kept_for_a_while) {
     fleet::machine_health health(settings, state);
     for (int k = 0; k < 3; ++k)
-        add_running(fmt::format("cut-{}", k), "a").own_heartbeat_at = at(0);
+        add_running(fmt::format("cut-{}", k), "a").last_heartbeat_at = at(0);
     auto hear_others = [&](time_point now) {
         for (int k = 0; k < 6; ++k)
-            add_running(fmt::format("i-{}", k), "b").own_heartbeat_at = now;
+            add_running(fmt::format("i-{}", k), "b").last_heartbeat_at = now;
     };
     auto now = at(20);
     hear_others(now);
     health.check(now);
-    EXPECT_TRUE(state.find_machine("cut-0")->silent);
-    EXPECT_FALSE(state.find_machine("cut-0")->deleting);
+    EXPECT_TRUE(state.find_machine("cut-0")->is_silent);
+    EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
 
     // The machines come back one after another.
-    state.find_machine("cut-1")->own_heartbeat_at = now;
-    state.find_machine("cut-2")->own_heartbeat_at = now;
+    state.find_machine("cut-1")->last_heartbeat_at = now;
+    state.find_machine("cut-2")->last_heartbeat_at = now;
     health.check(now + 1s);
-    EXPECT_FALSE(state.find_machine("cut-0")->deleting);
+    EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
     now += c::cut_return + 1s;
     hear_others(now);
-    state.find_machine("cut-1")->own_heartbeat_at = now;
-    state.find_machine("cut-2")->own_heartbeat_at = now;
+    state.find_machine("cut-1")->last_heartbeat_at = now;
+    state.find_machine("cut-2")->last_heartbeat_at = now;
     health.check(now);
-    EXPECT_TRUE(state.find_machine("cut-0")->deleting) << "it did not come back";
-    EXPECT_FALSE(state.find_machine("cut-1")->deleting);
+    EXPECT_TRUE(state.find_machine("cut-0")->is_deleting) << "it did not come back";
+    EXPECT_FALSE(state.find_machine("cut-1")->is_deleting);
 }
 
 TEST_F(machine_health_test, a_zone_that_stays_silent_is_given_up) {
     fleet::machine_health health(settings, state);
     for (int k = 0; k < 3; ++k)
-        add_running(fmt::format("cut-{}", k), "a").own_heartbeat_at = at(0);
+        add_running(fmt::format("cut-{}", k), "a").last_heartbeat_at = at(0);
     auto last = model::silence_limit(settings) + settings.lease_duration + c::cut_patience;
     for (auto now = at(0); now <= at(0) + last; now += 5s)
         health.check(now);
-    EXPECT_FALSE(state.find_machine("cut-0")->deleting);
+    EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
     health.check(at(1) + last);
-    EXPECT_TRUE(state.find_machine("cut-0")->deleting);
+    EXPECT_TRUE(state.find_machine("cut-0")->is_deleting);
 }
 
 TEST_F(machine_health_test, a_machine_that_does_not_come_up_is_deleted) {
     fleet::machine_health health(settings, state);
-    auto &machine = state.ensure_machine("i-1", at(0));
-    state.describe_machine(machine, "large", "a", false, "");
+    auto &machine = state.find_or_add_machine("i-1", at(0));
+    state.update_description(machine, "large", "a", false, "");
     auto late = at(5) + c::boot_late * machine.type.boot_time;
     health.check(late);
-    EXPECT_FALSE(machine.deleting);
+    EXPECT_FALSE(machine.is_deleting);
     health.check(late + 1s);
-    EXPECT_TRUE(machine.deleting);
+    EXPECT_TRUE(machine.is_deleting);
 }
 
 TEST(deletion_reasons, are_told_in_the_logs_words) {
@@ -293,8 +293,8 @@
 // --- the cloud's list ---
 
 TEST_F(machine_list_test, a_machine_that_should_be_listed_and_is_not_is_gone) {
-    state.ensure_machine("i-old", at(1));
-    state.ensure_machine("i-new", at(95));
+    state.find_or_add_machine("i-old", at(1));
+    state.find_or_add_machine("i-new", at(95));
     listed_machine listed{"i-1", "10.0.0.1:9000", "large", "a", false, machine_state::running, 40s};
     fleet::apply_machine_list(state, settings, {listed}, at(100), at(101));
     EXPECT_EQ(state.find_machine("i-old"), nullptr);
@@ -313,7 +313,7 @@
         {"i-bad", "", "large", "a", false, machine_state::failed, 40s},
         {"i-gone", "", "large", "a", false, machine_state::running, 40s}};
     fleet::apply_machine_list(state, settings, listed, at(100), at(101));
-    EXPECT_TRUE(state.find_machine("i-bad")->deleting);
+    EXPECT_TRUE(state.find_machine("i-bad")->is_deleting);
     EXPECT_EQ(state.find_machine("i-gone"), nullptr);
 }
 
@@ -351,7 +351,7 @@
     spec.spread = true;
     spec.spot = false;
     spec.tasks = 2;
-    state.note_workload(spec, at(0));
+    state.note_accepted_job(spec, at(0));
     settings.ops.spare_replicas = 2;
     fleet::offer_catalog offers(state);
     fleet::rental_requests requests(state, 4096);
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -35,9 +35,9 @@
 
     workers::machine &add_machine(const std::string &name, const std::string &zone = "a",
                                   const std::string &type = "large") {
-        auto &machine = state.ensure_machine(name, at(0));
-        state.describe_machine(machine, type, zone, false, "10.0.0.1:9000");
-        machine.up = true;
+        auto &machine = state.find_or_add_machine(name, at(0));
+        state.update_description(machine, type, zone, false, "10.0.0.1:9000");
+        machine.is_up = true;
         return machine;
     }
     catalog::job &add_job(job_spec spec) {
@@ -160,7 +160,7 @@
 
 TEST_F(bid_rounds, the_lowest_bid_wins) {
     all.add_machine("i-1");
-    all.add_machine("i-2").use_image("img", 1, at(50));
+    all.add_machine("i-2").note_image_use("img", 1, at(50));
     auto round = all.begin_round();
     auto best = round.best_bid(all.add_job("job-1", "blue", 1), now);
     ASSERT_TRUE(best);
@@ -195,7 +195,7 @@
 TEST_F(bid_rounds, a_machine_without_new_work_keeps_its_figures) {
     auto &machine = all.add_machine("i-1");
     EXPECT_EQ(all.bidders.current(now).size(), 1u);
-    machine.silent = true;
+    machine.is_silent = true;
     EXPECT_TRUE(all.bidders.current(now).empty());
     EXPECT_NE(all.bidders.find("i-1"), nullptr);
 }
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -7,18 +7,18 @@
 #include "reconciliation/lease_monitor.hpp"
 #include "reconciliation/lease_time.hpp"
 #include "test_time.hpp"
-#include "workers/proven_gone.hpp"
+#include "workers/attempt_liveness.hpp"
 #include <gtest/gtest.h>
 
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using catalog::attempt_phase;
-using reconciliation::heartbeat_age;
+using reconciliation::heartbeat_freshness;
 using reconciliation::heartbeat_origin;
 using reconciliation::start_permission;
 using test::at;
+using workers::attempt_liveness;
 using workers::evidence;
-using workers::verdict;
 
 namespace {
 
@@ -29,7 +29,7 @@
 class proven_gone : public testing::Test {
   protected:
     proven_gone() {
-        machine.known_type = true;
+        machine.is_type_known = true;
         machine.incarnation = 1;
         machine.sequence = 5;
         machine.token = present_token;
@@ -37,8 +37,8 @@
         attempt.sent_incarnation = 1;
         attempt.sent_sequence = 4;
     }
-    verdict judged(evidence seen) const {
-        return workers::judge(attempt, machine, {seen, present_token, at(100)});
+    attempt_liveness assessed(evidence seen) const {
+        return workers::assess_attempt(attempt, machine, {seen, present_token, at(100)});
     }
     workers::machine machine;
     catalog::attempt attempt;
@@ -81,8 +81,8 @@
         made.tasks = std::move(tasks);
         return made;
     }
-    heartbeat_age receive(const heartbeat &received, time_point now,
-                          heartbeat_origin origin = heartbeat_origin::own) {
+    heartbeat_freshness receive(const heartbeat &received, time_point now,
+                                heartbeat_origin origin = heartbeat_origin::unsolicited) {
         return heartbeats.reconcile(received, origin, now);
     }
     // Task 0 is placed on the machine, durably; its start was not sent.
@@ -117,34 +117,34 @@
 // --- proofs ---
 
 TEST_F(proven_gone, a_start_whose_answer_was_dropped_is_sent_again) {
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::send_again);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::start_dropped);
 }
 
 TEST_F(proven_gone, a_dropped_start_that_nobody_wants_any_more_is_gone) {
     attempt.stop_wanted = true;
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
     attempt.stop_wanted = false;
-    machine.deleting = true;
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
+    machine.is_deleting = true;
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
 TEST_F(proven_gone, a_start_in_the_answer_to_the_newest_heartbeat_may_still_arrive) {
     attempt.sent_sequence = machine.sequence;
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
 }
 
 TEST_F(proven_gone, an_unacknowledged_command_keeps_what_is_missing) {
     for (auto phase : {attempt_phase::sent, attempt_phase::fetching, attempt_phase::running,
                        attempt_phase::checkpointing}) {
         attempt.phase = phase;
-        machine.commands_open = 1;
-        EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
-        machine.commands_open = 0;
+        machine.open_direct_commands = 1;
+        EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+        machine.open_direct_commands = 0;
         machine.unresolved_token = present_token;
         machine.unresolved_incarnation = 1;
-        EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
+        EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
         machine.token = present_token + 1;
-        EXPECT_NE(judged(evidence::missing_from_heartbeat), verdict::still_possible);
+        EXPECT_NE(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
         machine.token = present_token;
         machine.unresolved_token = machine.unresolved_incarnation = 0;
     }
@@ -153,46 +153,46 @@
 TEST_F(proven_gone, an_answer_on_its_way_keeps_what_is_missing) {
     attempt.phase = attempt_phase::running;
     machine.answer_incarnation = 1;
-    machine.answer_until = at(101);
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
-    machine.answer_until = at(100);
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
+    machine.answer_expires_at = at(101);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+    machine.answer_expires_at = at(100);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
 TEST_F(proven_gone, an_earlier_leaders_start_ends_with_the_present_token) {
     attempt.inherited = true;
     machine.token = earlier_token;
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
     machine.token = present_token;
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
 TEST_F(proven_gone, a_new_incarnation_ends_all_but_an_earlier_leaders_start) {
-    machine.commands_open = 1;
-    EXPECT_EQ(judged(evidence::new_incarnation), verdict::gone);
+    machine.open_direct_commands = 1;
+    EXPECT_EQ(assessed(evidence::new_incarnation), attempt_liveness::gone);
     attempt.inherited = true;
-    EXPECT_EQ(judged(evidence::new_incarnation), verdict::still_possible);
+    EXPECT_EQ(assessed(evidence::new_incarnation), attempt_liveness::possibly_live);
 }
 
 TEST_F(proven_gone, an_expired_lease_ends_what_was_sent) {
-    machine.commands_open = 1;
-    EXPECT_EQ(judged(evidence::lease_expired), verdict::gone);
+    machine.open_direct_commands = 1;
+    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::gone);
     attempt.inherited = true;
-    EXPECT_EQ(judged(evidence::lease_expired), verdict::gone);
+    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::gone);
     attempt.phase = attempt_phase::committed;
-    EXPECT_EQ(judged(evidence::lease_expired), verdict::still_possible);
+    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::possibly_live);
 }
 
 TEST_F(proven_gone, a_removed_machine_ends_all_but_results) {
-    EXPECT_EQ(judged(evidence::machine_removed), verdict::gone);
+    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
     attempt.phase = attempt_phase::committing;
-    EXPECT_EQ(judged(evidence::machine_removed), verdict::gone);
+    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
     attempt.phase = attempt_phase::exited;
     attempt.cause = exit_cause::error;
-    EXPECT_EQ(judged(evidence::machine_removed), verdict::gone);
+    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
     attempt.cause = exit_cause::done;
-    EXPECT_EQ(judged(evidence::machine_removed), verdict::still_possible);
-    EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::still_possible);
+    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::possibly_live);
+    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
 }
 
 // --- heartbeats ---
@@ -200,14 +200,14 @@
 TEST_F(reconciliation_parts, a_late_copy_is_stale_and_an_earlier_incarnation_dead) {
     auto first = heartbeat_of(2);
     first.incarnation = 3;
-    EXPECT_EQ(receive(first, at(1)), heartbeat_age::fresh);
-    EXPECT_EQ(receive(first, at(2)), heartbeat_age::stale);
+    EXPECT_EQ(receive(first, at(1)), heartbeat_freshness::fresh);
+    EXPECT_EQ(receive(first, at(2)), heartbeat_freshness::stale);
     auto earlier = heartbeat_of(9);
     earlier.incarnation = 2;
-    EXPECT_EQ(receive(earlier, at(3)), heartbeat_age::dead);
-    EXPECT_EQ(machine().heard_at, at(1));
+    EXPECT_EQ(receive(earlier, at(3)), heartbeat_freshness::obsolete);
+    EXPECT_EQ(machine().last_message_at, at(1));
     state.remove_machine("i-1", at(4));
-    EXPECT_EQ(receive(first, at(5)), heartbeat_age::dead);
+    EXPECT_EQ(receive(first, at(5)), heartbeat_freshness::obsolete);
 }
 
 TEST_F(reconciliation_parts, an_unacknowledged_direct_command_keeps_a_missing_task) {
@@ -218,7 +218,7 @@
     EXPECT_EQ(sent[0].kind, command_kind::start);
     receive(heartbeat_of(2), at(3));
     EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
-    commands.unresolved("i-1", present_token, 1);
+    commands.mark_unresolved("i-1", present_token, 1);
     receive(heartbeat_of(3), at(4));
     EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
     // Once the worker has seen a higher token, the command can't arrive any more.
@@ -231,15 +231,15 @@
 
 TEST_F(reconciliation_parts, an_unresolved_direct_command_asks_for_a_higher_token) {
     receive(heartbeat_of(1), at(1));
-    commands.begin(at(1));
+    commands.begin_term(at(1));
     place();
     ASSERT_EQ(commands.for_direct_command("i-1", start_permission::granted, at(2)).size(), 1u);
     auto later = at(2) + 2 * constants::token_bump;
-    EXPECT_FALSE(commands.wants_token_raise(later));
-    commands.unresolved("i-1", present_token, 1);
-    EXPECT_FALSE(commands.wants_token_raise(at(2)));
-    EXPECT_TRUE(commands.wants_token_raise(later));
-    EXPECT_FALSE(commands.wants_token_raise(later)) << "asked for already";
+    EXPECT_FALSE(commands.take_token_raise_request(later));
+    commands.mark_unresolved("i-1", present_token, 1);
+    EXPECT_FALSE(commands.take_token_raise_request(at(2)));
+    EXPECT_TRUE(commands.take_token_raise_request(later));
+    EXPECT_FALSE(commands.take_token_raise_request(later)) << "asked for already";
 }
 
 TEST_F(reconciliation_parts, a_task_that_runs_unknown_is_adopted_and_stopped) {
@@ -249,7 +249,7 @@
     auto answer = commands.for_answer("i-1", start_permission::granted, at(1));
     ASSERT_EQ(answer.size(), 1u);
     EXPECT_EQ(answer[0].kind, command_kind::stop);
-    EXPECT_FALSE(heartbeats.holds_nothing(heartbeat_of(2)));
+    EXPECT_FALSE(heartbeats.has_no_tasks(heartbeat_of(2)));
 }
 
 TEST_F(reconciliation_parts, a_completed_task_is_told_once_whoever_started_it) {
@@ -271,7 +271,7 @@
     unaware.token = earlier_token;
     time_point now = at(1);
     receive(unaware, now);
-    heartbeats.note_answer("i-1", heartbeat_age::fresh, now);
+    heartbeats.note_answer("i-1", heartbeat_freshness::fresh, now);
     for (int ignored = 0; ignored < constants::outbound_partition_heartbeats; ++ignored) {
         EXPECT_FALSE(machine().outbound_partition_since) << "after " << ignored;
         ++unaware.sequence;
@@ -279,7 +279,7 @@
         receive(unaware, now);
     }
     EXPECT_TRUE(machine().outbound_partition_since);
-    EXPECT_FALSE(machine().usable());
+    EXPECT_FALSE(machine().is_usable());
     auto aware = heartbeat_of(9);
     receive(aware, now + 1s);
     EXPECT_FALSE(machine().outbound_partition_since);
@@ -300,9 +300,9 @@
     auto unaware = heartbeat_of(1);
     unaware.token = earlier_token;
     receive(unaware, at(1));
-    heartbeats.note_answer("i-1", heartbeat_age::stale, at(2));
+    heartbeats.note_answer("i-1", heartbeat_freshness::stale, at(2));
     EXPECT_FALSE(machine().announced_at);
-    EXPECT_EQ(machine().lease_bound, reconciliation::lease_end(settings, at(2)));
+    EXPECT_EQ(machine().latest_lease_end, reconciliation::latest_lease_end(settings, at(2)));
 }
 
 // --- leases and failures ---
@@ -310,7 +310,7 @@
 TEST_F(reconciliation_parts, what_was_sent_is_released_after_the_lease_and_not_before) {
     receive(heartbeat_of(1), at(1));
     place().phase = attempt_phase::running;
-    auto end = machine().lease_bound;
+    auto end = machine().latest_lease_end;
     leases.release_expired(end);
     EXPECT_TRUE(job().live.contains(0));
     leases.release_expired(end + 1ms);
@@ -324,10 +324,10 @@
     job().cancelled = true;
     job().cancelled_at = at(1);
     leases.enforce_cancellations(at(1) + settings.heartbeat_interval);
-    EXPECT_EQ(state.take_urgent(), std::vector<std::string>{"i-1"});
-    EXPECT_FALSE(machine().deleting);
+    EXPECT_EQ(state.take_direct_command_targets(), std::vector<std::string>{"i-1"});
+    EXPECT_FALSE(machine().is_deleting);
     leases.enforce_cancellations(at(1) + settings.cancel_deadline);
-    EXPECT_TRUE(machine().deleting);
+    EXPECT_TRUE(machine().is_deleting);
 }
 
 TEST_F(reconciliation_parts, a_machine_where_a_working_job_fails_is_quarantined) {
@@ -335,13 +335,13 @@
     job().done_seen = 1;
     place();
     receive(heartbeat_of(2, {listed(task_state::exited, exit_cause::error)}), at(2));
-    EXPECT_TRUE(machine().quarantined);
+    EXPECT_TRUE(machine().is_quarantined);
     EXPECT_FALSE(job().live.contains(0));
 }
 
 TEST_F(reconciliation_parts, a_suspect_job_is_retried_one_task_at_a_time) {
     EXPECT_TRUE(failures.may_retry(job(), at(1)));
-    failures.load_suspects({"job-1", "unknown"}, at(1));
+    failures.restore_suspects({"job-1", "unknown"}, at(1));
     auto retry_at = state.failures().retry_at("job-1");
     EXPECT_TRUE(failures.may_retry(job(), retry_at));
     receive(heartbeat_of(1), at(1));
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -25,9 +25,9 @@
 
     small_cluster() {
         state.begin_term({7, 7, at(0), {}});
-        auto &machine = state.ensure_machine("i-1", at(0));
-        state.describe_machine(machine, "small", "a", false, "");
-        machine.up = true;
+        auto &machine = state.find_or_add_machine("i-1", at(0));
+        state.update_description(machine, "small", "a", false, "");
+        machine.is_up = true;
     }
 
     catalog::job &add_job(const std::string &id, std::uint32_t tasks) {
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -137,7 +137,7 @@
             if (!leader)
                 return;
             auto age = leader->on_heartbeat(r, now);
-            if (age == control::scheduler::heartbeat_age::dead)
+            if (age == control::scheduler::heartbeat_age::obsolete)
                 return;
             ++copies;
             if (!may_renew())
@@ -153,7 +153,7 @@
             return;
         auto leader = scheduler;
         auto age = leader->on_heartbeat(r, now);
-        if (age == control::scheduler::heartbeat_age::dead)
+        if (age == control::scheduler::heartbeat_age::obsolete)
             return;
         bool renew = may_renew();
         if (!renew && !leader->holds_nothing(r))
--- a/tests/simulation_rules.cpp
+++ b/tests/simulation_rules.cpp
@@ -11,7 +11,7 @@
 
 void simulation::check_blame() {
     for (auto &[name, m] : scheduler->machines())
-        if (m.quarantined && !workers.at(name).faulty)
+        if (m.is_quarantined && !workers.at(name).faulty)
             report_violation("quarantined though healthy: " + name);
 }
 
@@ -151,9 +151,9 @@
     for (auto &[i, a] : j->live)
         out += fmt::format("; {} on {} phase {}", i, a.machine, static_cast<int>(a.phase));
     for (auto &[n, m] : scheduler->machines())
-        out +=
-            fmt::format("\n  {} {} {} up {} usable {} heard {:.0f} s ago", n, m.type.name, m.spot,
-                        m.up, m.usable(), (now - m.heard_at.value_or(test::at(-1))).count());
+        out += fmt::format("\n  {} {} {} up {} usable {} heard {:.0f} s ago", n, m.type.name,
+                           m.spot, m.is_up, m.is_usable(),
+                           (now - m.last_message_at.value_or(test::at(-1))).count());
     return out;
 }
 
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -203,7 +203,7 @@
         const auto now = given.now;
         const auto &names = given.names;
         auto age = core->on_heartbeat(report(names.at(0), given.f), now);
-        if (age == control::scheduler::heartbeat_age::dead) {
+        if (age == control::scheduler::heartbeat_age::obsolete) {
             say("refused: out of date");
         } else {
             commands(core->commands_for_answer(names.at(0), now));
