--- a/src/bidding/bid.cpp
+++ b/src/bidding/bid.cpp
@@ -3,19 +3,20 @@
 
 namespace spindlecroft::bidding {
 
-seconds estimates::expected_run_time(const job_spec &spec) const {
+seconds run_time_estimator::expected_run_time(const job_spec &spec) const {
     seconds base = spec.estimate > seconds{0} ? spec.estimate : constants::default_estimate;
     auto factor = factor_.find(spec.job_class);
     return factor == factor_.end() ? base : base * factor->second;
 }
 
-void estimates::measured(const std::string &job_class, seconds estimate, seconds took) {
-    if (estimate <= seconds{0} || took <= seconds{0})
+void run_time_estimator::add_measurement(const std::string &job_class, seconds estimate,
+                                         seconds measured) {
+    if (estimate <= seconds{0} || measured <= seconds{0})
         return;
     constexpr double least_ratio = 0.1; // guards against one odd task that spoils its class
     constexpr double largest_ratio = 10.0;
     double &factor = factor_.try_emplace(job_class, 1.0).first->second;
-    double ratio = std::clamp(took / estimate, least_ratio, largest_ratio);
+    double ratio = std::clamp(measured / estimate, least_ratio, largest_ratio);
     // In logarithms, so that twice too long and half too short cancel.
     factor = std::exp((1 - constants::class_gain) * std::log(factor) +
                       constants::class_gain * std::log(ratio));
--- a/src/bidding/bid.hpp
+++ b/src/bidding/bid.hpp
@@ -11,12 +11,12 @@
 namespace spindlecroft::bidding {
 
 /// How owners' estimates of run times compare with what was measured, for each class of jobs.
-class estimates {
+class run_time_estimator {
   public:
     /// The owner's estimate, or the default without one, corrected by the factor of its class.
     [[nodiscard]] seconds expected_run_time(const job_spec &spec) const;
     /// Takes in the run time of a task that ended. Passed over where either time is not positive.
-    void measured(const std::string &job_class, seconds estimate, seconds took);
+    void add_measurement(const std::string &job_class, seconds estimate, seconds took);
 
   private:
     std::map<std::string, double> factor_; // by class: measured over estimated
@@ -34,13 +34,13 @@
                spec.memory_gb <= memory_gb + tolerance;
     }
     /// Takes away what one task needs.
-    void take(const job_spec &spec) {
+    void allocate(const job_spec &spec) {
         cpus -= spec.cpus;
         gpus -= spec.gpus;
         memory_gb -= spec.memory_gb;
     }
     /// Adds what one task needs.
-    void give(const job_spec &spec) {
+    void release(const job_spec &spec) {
         cpus += spec.cpus;
         gpus += spec.gpus;
         memory_gb += spec.memory_gb;
@@ -64,7 +64,7 @@
 using room = resources;
 
 /// A machine's bid for one task. The lowest finish time wins.
-struct offer {
+struct bid {
     seconds queue_time{}; // until the task could begin
     seconds fetch_time{}; // for its image, where that is not at hand
     seconds run_time{};
@@ -76,33 +76,34 @@
     double speed = 1;            // of the machine; 1: as fast as estimates assume
     double fetch_gb_per_s = 0;   // rate at which it fetches images
     resources free;              // held by no present or queued task
-    resources whole;             // what tasks that come and go may use, held or not
-    seconds work{};              // remaining and queued run time of such tasks
+    resources array_capacity;    // what tasks that come and go may use, held or not
+    seconds backlog{};           // remaining and queued run time of such tasks
     seconds boot_time{};         // until the machine is up
     seconds expected_run_time{}; // of the task, at speed 1
     bool has_image = false;      // cached there, or on its way for another task
-    int fetches = 0;             // other images on their way, which share the rate
+    int pending_fetches = 0;     // other images on their way, which share the rate
 };
 
 /// Queue, fetch and run time of one task of the job on the machine.
-[[nodiscard]] inline offer make_bid(const job_spec &spec, const bid_input &input) {
-    offer bid;
+[[nodiscard]] inline bid make_bid(const job_spec &spec, const bid_input &input) {
+    bid result;
     if (!input.free.fits(spec))
-        bid.queue_time = input.work / std::max(1, input.whole.slots(spec));
-    bid.queue_time += input.boot_time;
+        result.queue_time = input.backlog / std::max(1, input.array_capacity.slots(spec));
+    result.queue_time += input.boot_time;
     if (!input.has_image && input.fetch_gb_per_s > 0)
-        bid.fetch_time = seconds{spec.image_gb / input.fetch_gb_per_s * (1 + input.fetches)};
-    bid.run_time = input.expected_run_time / std::max(input.speed, constants::speed_floor);
-    return bid;
+        result.fetch_time =
+            seconds{spec.image_gb / input.fetch_gb_per_s * (1 + input.pending_fetches)};
+    result.run_time = input.expected_run_time / std::max(input.speed, constants::speed_floor);
+    return result;
 }
 
 /// The same, as src/control still calls it.
-[[nodiscard]] inline offer make_bid(double speed, double fetch_gb_per_s, const job_spec &spec,
-                                    const resources &free, const resources &whole, seconds work,
-                                    seconds boot_time, seconds expected_run_time, bool has_image,
-                                    int fetches) {
-    return make_bid(spec, {speed, fetch_gb_per_s, free, whole, work, boot_time, expected_run_time,
-                           has_image, fetches});
+[[nodiscard]] inline bid make_bid(double speed, double fetch_gb_per_s, const job_spec &spec,
+                                  const resources &free, const resources &array_capacity,
+                                  seconds backlog, seconds boot_time, seconds expected_run_time,
+                                  bool has_image, int pending_fetches) {
+    return make_bid(spec, {speed, fetch_gb_per_s, free, array_capacity, backlog, boot_time,
+                           expected_run_time, has_image, pending_fetches});
 }
 
 } // namespace spindlecroft::bidding
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -29,7 +29,7 @@
     return std::any_of(types_.get()->begin(), types_.get()->end(), [&](const machine_type &type) {
         bool allowed =
             planning::type_allowed(spec, type.name) && (!spec.zone || has_zone(type, *spec.zone));
-        return allowed && bidding::room{type.cpus, type.gpus, type.memory_gb}.fits(spec);
+        return allowed && bidding::resources{type.cpus, type.gpus, type.memory_gb}.fits(spec);
     });
 }
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -166,7 +166,7 @@
 void scheduler::scale(time_point now) {
     last_scaling_ = now;
     std::vector<planning::bidder> in_use; // copies: what is planned here is no bid
-    for (const auto *machine : planner_.bidders().current(now))
+    for (const auto *machine : planner_.bidders().eligible_bidders(now))
         in_use.push_back(*machine);
     fleet_.plan(std::move(in_use), now);
 }
--- a/src/dependencies/chain_inheritance.cpp
+++ b/src/dependencies/chain_inheritance.cpp
@@ -10,13 +10,13 @@
 namespace spindlecroft::dependencies {
 
 void chain_inheritance::update(const catalog::dependency_graph &graph) {
-    if (graph.nodes().empty() && inheriting_.empty())
+    if (graph.nodes().empty() && inheriting_jobs_.empty())
         return;
     auto inherited =
-        fairness::inherit(graph, [this](const std::string &id) { return member_of(id); });
-    auto former = std::exchange(inheriting_, {});
+        fairness::inherit_urgency(graph, [this](const std::string &id) { return urgency_of(id); });
+    auto former = std::exchange(inheriting_jobs_, {});
     for (const auto &[id, from] : inherited) {
-        inheriting_.insert(id);
+        inheriting_jobs_.insert(id);
         former.erase(id);
         assign(id, from);
     }
@@ -24,19 +24,19 @@
         assign(id, {});
 }
 
-std::optional<fairness::chain_member> chain_inheritance::member_of(const std::string &id) const {
+std::optional<fairness::job_urgency> chain_inheritance::urgency_of(const std::string &id) const {
     const auto *job = state_.find_job(id);
     if (!job || job->over())
         return {};
-    fairness::chain_member member;
+    fairness::job_urgency member;
     member.priority = job->own_priority;
-    member.duration = duration(*job);
+    member.duration = estimate_duration(*job);
     if (auto own = job->spec.deadline.value_or(seconds{}); own > seconds{})
-        member.due = due_times_of(*job, own);
+        member.due = own_due_times(*job, own);
     return member;
 }
 
-fairness::due_times chain_inheritance::due_times_of(const catalog::job &job, seconds own) const {
+fairness::due_times chain_inheritance::own_due_times(const catalog::job &job, seconds own) const {
     seconds latest = own;
     for (const auto &objective : settings_.objectives)
         if (objective.job_class == job.spec.job_class)
@@ -45,13 +45,13 @@
 }
 
 // From its readiness to its end: fetching the image, and running its tasks in waves.
-seconds chain_inheritance::duration(const catalog::job &job) const {
+seconds chain_inheritance::estimate_duration(const catalog::job &job) const {
     return constants::chain_stage + slowest_image_fetch(job.spec) +
-           waves(job) * constants::chain_run_margin * state_.expected_run_time(job);
+           wave_count(job) * constants::chain_run_margin * state_.expected_run_time(job);
 }
 
 // As many waves as its team's limit makes of its tasks.
-double chain_inheritance::waves(const catalog::job &job) const {
+double chain_inheritance::wave_count(const catalog::job &job) const {
     const auto &spec = job.spec;
     double tasks = spec.tasks - job.done_seen;
     double count = 1;
@@ -73,7 +73,7 @@
     return seconds{slowest > 0 ? spec.image_gb / slowest : 0};
 }
 
-void chain_inheritance::assign(const std::string &id, const fairness::inherited &from) {
+void chain_inheritance::assign(const std::string &id, const fairness::inherited_urgency &from) {
     auto *job = state_.find_job(id);
     if (!job)
         return;
--- a/src/dependencies/chain_inheritance.hpp
+++ b/src/dependencies/chain_inheritance.hpp
@@ -26,17 +26,17 @@
     void update(const catalog::dependency_graph &graph);
 
   private:
-    [[nodiscard]] std::optional<fairness::chain_member> member_of(const std::string &id) const;
-    [[nodiscard]] fairness::due_times due_times_of(const catalog::job &job, seconds own) const;
-    [[nodiscard]] seconds duration(const catalog::job &job) const;
-    [[nodiscard]] double waves(const catalog::job &job) const;
+    [[nodiscard]] std::optional<fairness::job_urgency> urgency_of(const std::string &id) const;
+    [[nodiscard]] fairness::due_times own_due_times(const catalog::job &job, seconds own) const;
+    [[nodiscard]] seconds estimate_duration(const catalog::job &job) const;
+    [[nodiscard]] double wave_count(const catalog::job &job) const;
     [[nodiscard]] seconds slowest_image_fetch(const job_spec &spec) const;
-    void assign(const std::string &id, const fairness::inherited &from);
+    void assign(const std::string &id, const fairness::inherited_urgency &from);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
     const fairness::team_queues &teams_;
-    std::set<std::string> inheriting_; // jobs whose priority or due times come from others
+    std::set<std::string> inheriting_jobs_; // jobs whose priority or due times come from others
 };
 
 } // namespace spindlecroft::dependencies
--- a/src/fairness/chain_order.cpp
+++ b/src/fairness/chain_order.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // The job's own values together with those that it inherits.
-chain_member combined(chain_member own, const inherited &from) {
+job_urgency combined(job_urgency own, const inherited_urgency &from) {
     own.priority = std::min(own.priority, from.priority);
     if (!from.due)
         return own;
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void inherited::merge(const chain_member &dependent) {
+void inherited_urgency::add_dependent(const job_urgency &dependent) {
     priority = std::min(priority, dependent.priority);
     if (!dependent.due)
         return;
@@ -31,11 +31,11 @@
     due->last = std::min(due->last, earlier.last);
 }
 
-std::map<std::string, inherited>
-inherit(const catalog::dependency_graph &graph,
-        const std::function<std::optional<chain_member>(const std::string &)> &member) {
+std::map<std::string, inherited_urgency>
+inherit_urgency(const catalog::dependency_graph &graph,
+                const std::function<std::optional<job_urgency>(const std::string &)> &member) {
     // Each job is visited once, after all that need it.
-    std::map<std::string, inherited> inherited_by_job;
+    std::map<std::string, inherited_urgency> inherited_by_job;
     std::map<std::string, std::size_t> dependents_left;
     std::vector<std::string> open;
     for (const auto &[job, node] : graph.nodes()) {
@@ -53,7 +53,7 @@
             own = combined(*own, from->second);
         for (const auto &predecessor : graph.find(job)->predecessors) {
             if (own && !graph.end_of(predecessor))
-                inherited_by_job[predecessor].merge(*own);
+                inherited_by_job[predecessor].add_dependent(*own);
             if (--dependents_left[predecessor] == 0 && graph.find(predecessor))
                 open.push_back(predecessor);
         }
--- a/src/fairness/chain_order.hpp
+++ b/src/fairness/chain_order.hpp
@@ -17,24 +17,24 @@
 };
 
 /// What is known of a job by itself.
-struct chain_member {
+struct job_urgency {
     priority_class priority = priority_class::normal;
     std::optional<due_times> due;
     seconds duration{}; // estimated, from its readiness to its end
 };
 
 /// What a job inherits from the jobs that need it.
-struct inherited {
+struct inherited_urgency {
     priority_class priority = priority_class::low;
     std::optional<due_times> due;
     /// Takes what the job's dependent, as it stands, asks of it.
-    void merge(const chain_member &dependent);
+    void add_dependent(const job_urgency &dependent);
 };
 
 /// For every job that unfinished jobs need. member: nothing for a job that does not count (any
 /// more).
-[[nodiscard]] std::map<std::string, inherited>
-inherit(const catalog::dependency_graph &graph,
-        const std::function<std::optional<chain_member>(const std::string &)> &member);
+[[nodiscard]] std::map<std::string, inherited_urgency>
+inherit_urgency(const catalog::dependency_graph &graph,
+                const std::function<std::optional<job_urgency>(const std::string &)> &member);
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/team_order.cpp
+++ b/src/fairness/team_order.cpp
@@ -10,7 +10,7 @@
 
 // Can't be complete by any of its due times.
 bool is_late(const waiting_job &job) {
-    return job.due_in.empty() || job.due_in.back() < job.longest;
+    return job.due_in.empty() || job.due_in.back() < job.min_completion_time;
 }
 
 std::vector<bool> late_jobs(const std::vector<waiting_job> &jobs) {
@@ -25,10 +25,11 @@
 std::vector<std::size_t> starved_jobs(const std::vector<waiting_job> &jobs) {
     std::vector<std::size_t> starved;
     for (std::size_t i = 0; i < jobs.size(); ++i)
-        if (!jobs[i].begun && jobs[i].waited > constants::starved_after)
+        if (!jobs[i].has_started && jobs[i].wait_time > constants::starved_after)
             starved.push_back(i);
-    std::stable_sort(starved.begin(), starved.end(),
-                     [&](auto left, auto right) { return jobs[left].waited > jobs[right].waited; });
+    std::stable_sort(starved.begin(), starved.end(), [&](auto left, auto right) {
+        return jobs[left].wait_time > jobs[right].wait_time;
+    });
     return starved;
 }
 
@@ -37,8 +38,8 @@
                                            const std::vector<bool> &late) {
     std::optional<std::size_t> oldest;
     for (std::size_t i = 0; i < jobs.size(); ++i)
-        if (late[i] && jobs[i].waited > constants::aged_after &&
-            (!oldest || jobs[i].waited > jobs[*oldest].waited))
+        if (late[i] && jobs[i].wait_time > constants::aged_after &&
+            (!oldest || jobs[i].wait_time > jobs[*oldest].wait_time))
             oldest = i;
     return oldest;
 }
@@ -49,7 +50,8 @@
     std::vector<std::size_t> order(jobs.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](auto left, auto right) {
-        return late[left] != late[right] ? !late[left] : jobs[left].work < jobs[right].work;
+        return late[left] != late[right] ? !late[left]
+                                         : jobs[left].remaining_work < jobs[right].remaining_work;
     });
     return order;
 }
@@ -64,7 +66,7 @@
     for (auto job : starved)
         turns.push_back({job, 1});
     if (auto aged = oldest_aged_job(jobs, late)) {
-        double share = std::max(1.0, constants::aged_share * slots) - jobs[*aged].held;
+        double share = std::max(1.0, constants::aged_share * slots) - jobs[*aged].occupied_slots;
         if (share >= 1)
             turns.push_back({*aged, static_cast<std::uint32_t>(share)});
     }
--- a/src/fairness/team_order.hpp
+++ b/src/fairness/team_order.hpp
@@ -10,17 +10,17 @@
 /// What the order of service depends on.
 struct waiting_job {
     std::vector<seconds> due_in; // until the times by which it should be complete, the first first
-    seconds work{};              // run time of its tasks that are not done
-    seconds longest{};           // at least this long even with any number of machines
-    seconds waited{};            // since it was accepted
-    bool begun = false;          // some task of it has started
-    double held = 0;             // slots that it has now
+    seconds remaining_work{};    // run time of its tasks that are not done
+    seconds min_completion_time{}; // at least this long even with any number of machines
+    seconds wait_time{};           // since it was accepted
+    bool has_started = false;      // some task of it has started
+    double occupied_slots = 0;     // slots that it has now
 };
 
 /// A job's turn: so many of its tasks, before the next turn.
 struct turn {
     std::size_t job = 0; // position in the given list
-    std::uint32_t most = 0;
+    std::uint32_t max_tasks = 0;
     auto operator<=>(const turn &) const = default;
 };
 /// The number of tasks in a turn without bound.
--- a/src/fairness/team_queues.cpp
+++ b/src/fairness/team_queues.cpp
@@ -37,7 +37,7 @@
     present.gpus += sign * spec.gpus;
 }
 
-usage team_queues::used(const std::string &team) const {
+usage team_queues::usage_of(const std::string &team) const {
     auto found = used_.find(team);
     return found == used_.end() ? usage{} : found->second;
 }
@@ -46,7 +46,7 @@
     const auto *team = find(spec.team);
     if (!team)
         return false;
-    auto present = used(spec.team);
+    auto present = usage_of(spec.team);
     return permitted(present.cpus + spec.cpus, team->cpus_max) &&
            permitted(present.gpus + spec.gpus, team->gpus_max);
 }
@@ -55,14 +55,14 @@
     const auto *team = find(spec.team);
     if (!team || !has_guarantee(*team))
         return false;
-    auto present = used(spec.team);
+    auto present = usage_of(spec.team);
     return present.cpus + spec.cpus <= team->cpus + tolerance &&
            present.gpus + spec.gpus <= team->gpus + tolerance;
 }
 
 double team_queues::share_used(const std::string &name) const {
     const auto *team = find(name);
-    auto present = used(name);
+    auto present = usage_of(name);
     if (!team || !has_guarantee(*team))
         return present.cpus + present.gpus;
     double share = 0;
--- a/src/fairness/team_queues.hpp
+++ b/src/fairness/team_queues.hpp
@@ -23,7 +23,7 @@
     void clear_usage();
     /// Counts one task of the job in (sign 1) or out (sign -1).
     void add(const std::string &team, const job_spec &spec, int sign = 1);
-    [[nodiscard]] usage used(const std::string &team) const;
+    [[nodiscard]] usage usage_of(const std::string &team) const;
     /// One more such task stays within the team's limit.
     [[nodiscard]] bool within_limit(const job_spec &spec) const;
     /// One more such task stays within what the team is guaranteed.
--- a/src/fleet/offers.cpp
+++ b/src/fleet/offers.cpp
@@ -12,7 +12,7 @@
 constexpr double cheaper_ratio = 0.999;
 
 int slots_on(const machine_type &type, const job_spec &spec) {
-    return bidding::room{type.cpus, type.gpus, type.memory_gb}.slots(spec);
+    return bidding::resources{type.cpus, type.gpus, type.memory_gb}.slots(spec);
 }
 
 } // namespace
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -18,7 +18,7 @@
 }
 
 bool has_room_for_replica(const bidder &machine, const job_spec &spec) {
-    return is_allowed_on(machine, spec) && machine.critical.fits(spec);
+    return is_allowed_on(machine, spec) && machine.free_for_critical.fits(spec);
 }
 
 // How many machine slots let work of so much run time start and end within the target.
@@ -29,8 +29,8 @@
 
 // Places array tasks on the machine until it is full or none is left. Returns how many are left.
 double fill_with_tasks(bidder &machine, const job_spec &spec, double tasks) {
-    for (; tasks > 0 && machine.whole.fits(spec); --tasks)
-        machine.whole.take(spec);
+    for (; tasks > 0 && machine.array_capacity.fits(spec); --tasks)
+        machine.array_capacity.allocate(spec);
     return tasks;
 }
 
@@ -41,7 +41,8 @@
     machine.type = &type;
     machine.zone = zone;
     machine.spot = spot;
-    machine.free = machine.critical = machine.whole = {type.cpus, type.gpus, type.memory_gb};
+    machine.free = machine.free_for_critical =
+        machine.array_capacity = {type.cpus, type.gpus, type.memory_gb};
     return machine;
 }
 
@@ -66,7 +67,7 @@
     auto offer = offers_.cheapest(spec, price_class::on_demand, zones, now);
     if (!offer)
         return false;
-    rent(*offer, planned, now).hold(spec, seconds{});
+    rent(*offer, planned, now).add_task(spec, seconds{});
     return true;
 }
 
@@ -111,7 +112,7 @@
             return !zone_is_full && has_room_for_replica(machine, spec);
         });
         if (room != planned.end()) {
-            room->hold(spec, seconds{});
+            room->add_task(spec, seconds{});
             ++replicas[room->zone];
             continue;
         }
@@ -138,10 +139,10 @@
     for (int count = 0; count < settings_.ops.spare_replicas; ++count) {
         auto *machine = find_spare_room(spec, planned, spare_in);
         if (machine) {
-            machine->hold(spec, seconds{});
+            machine->add_task(spec, seconds{});
             ++spare_in[machine->zone];
-            if (machine->m)
-                spare.insert(machine->m->name);
+            if (machine->machine)
+                spare.insert(machine->machine->name);
         } else if (!rent_for_replica(spec, nullptr, planned, now)) {
             break;
         }
--- a/src/model/cluster_state.hpp
+++ b/src/model/cluster_state.hpp
@@ -82,7 +82,7 @@
     void remove_job(const std::string &id) { jobs_.erase(id); }
     // The owner's estimate, corrected by what was measured of the class and of this very job.
     seconds expected_run_time(const job &owner) const;
-    bidding::estimates &estimates() { return estimates_; }
+    bidding::run_time_estimator &estimates() { return estimates_; }
     const std::map<std::string, recent_service> &recent_services() const {
         return recent_services_;
     }
@@ -149,7 +149,7 @@
     std::map<std::string, std::uint32_t> image_numbers_;
     std::map<std::string, recent_service> recent_services_; // by class
     std::optional<job_spec> latest_array_;
-    bidding::estimates estimates_;
+    bidding::run_time_estimator estimates_;
     workers::failure_ledger failures_;
     std::set<std::string> urgent_;
     bool planning_wanted_ = true;
--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -19,15 +19,16 @@
     bool critical = spec.priority == priority_class::critical;
     if (spec.shape == job_shape::service || critical) {
         // A service leaves only with its user: nobody queues behind it.
-        const auto &available = critical ? machine.critical : machine.whole;
+        const auto &available = critical ? machine.free_for_critical : machine.array_capacity;
         return {available.fits(spec), !machine.free.fits(spec)};
     }
-    if (!machine.whole.fits(spec))
+    if (!machine.array_capacity.fits(spec))
         return {};
     // Work of the lowest priority makes room where waiting for it would take longer.
     bool waits = machine.boot_time <= seconds{} && !machine.free.fits(spec) &&
-                 machine.work > c::preempt_cost * machine.whole.slots(spec);
-    return {true, waits && spec.priority != priority_class::low && machine.above_idle.fits(spec)};
+                 machine.backlog > c::preempt_cost * machine.array_capacity.slots(spec);
+    return {true,
+            waits && spec.priority != priority_class::low && machine.free_above_low.fits(spec)};
 }
 
 // The machine's queue is full, by time or by number.
@@ -36,7 +37,7 @@
         return true;
     // Guards against a leader that is busy with bids alone: the tasks of a large sweep fill every
     // queue by the thousand, and all of them are bid again each second.
-    return queue_time > machine.boot_time && machine.m->queue.size() >= c::queue_tasks;
+    return queue_time > machine.boot_time && machine.machine->queue.size() >= c::queue_tasks;
 }
 
 } // namespace
@@ -44,7 +45,7 @@
 bid_round::bid_round(const model::cluster_state &state, std::vector<bidder *> bidders)
     : state_(state), bidders_(std::move(bidders)) {
     for (std::size_t i = 0; i < bidders_.size(); ++i)
-        bidders_[i]->number = i;
+        bidders_[i]->position = i;
 }
 
 std::optional<round_bid> bid_round::best_bid(const catalog::job &job, time_point now) {
@@ -53,45 +54,45 @@
     auto allowed = allowed_classes_for(state_, job);
     auto failed = state_.failures().failed_machines(spec.id);
     bool some_failed = failed > 0 && failed < bidders_.size();
-    need needed{spec.cpus,
-                spec.gpus,
-                spec.memory_gb,
-                spec.shape == job_shape::service,
-                spec.priority == priority_class::critical,
-                allowed};
-    if (!some_failed && unmet_.contains(needed))
+    requirements needed{spec.cpus,
+                        spec.gpus,
+                        spec.memory_gb,
+                        spec.shape == job_shape::service,
+                        spec.priority == priority_class::critical,
+                        allowed};
+    if (!some_failed && unmet_requirements_.contains(needed))
         return {};
-    request asked{job, allowed, expected, some_failed, now};
+    bid_request asked{job, allowed, expected, some_failed, now};
     // Where tasks of services and of jobs with zone rules may be changes with each of them, and a
     // bid may fall when another task takes resources: such bids are not kept.
     bool bids_may_fall = spec.shape == job_shape::service || spec.same_zone || spec.spread;
-    auto best = bids_may_fall ? ask_all(asked) : ask_kept(asked);
+    auto best = bids_may_fall ? find_best_bid(asked) : find_best_cached_bid(asked);
     if (!best && !some_failed)
-        unmet_.insert(std::move(needed));
+        unmet_requirements_.insert(std::move(needed));
     return best;
 }
 
 void bid_round::task_queued(bidder &winner, const catalog::job &job, seconds estimate) {
-    winner.hold(job.spec, estimate);
-    if (winner.fetch(job.image))
-        fetching_[job.image].push_back(&winner);
+    winner.add_task(job.spec, estimate);
+    if (winner.add_fetch(job.image))
+        fetching_by_image_[job.image].push_back(&winner);
     ++winner.version;
 }
 
-std::optional<round_bid> bid_round::bid_of(const request &asked, bidder &machine) const {
+std::optional<round_bid> bid_round::bid_of(const bid_request &asked, bidder &machine) const {
     const auto &job = asked.job;
     const auto &spec = job.spec;
-    if (!asked.allowed[machine.machine_class] || !machine.m->takes_work(asked.now))
+    if (!asked.allowed[machine.machine_class] || !machine.machine->takes_work(asked.now))
         return {};
-    if (asked.some_failed && state_.failures().failed_on(spec.id, machine.m->name))
+    if (asked.some_failed && state_.failures().failed_on(spec.id, machine.machine->name))
         return {};
     auto [fits, preempting] = capacity_for(spec, machine);
     if (!fits)
         return {};
-    auto offer =
-        bidding::make_bid(machine.m->speed, machine.type->fetch_gb_per_s, spec, machine.free,
-                          machine.whole, preempting ? seconds{} : machine.work, machine.boot_time,
-                          asked.expected, machine.has_image(job.image), machine.fetches);
+    auto offer = bidding::make_bid(
+        machine.machine->speed, machine.type->fetch_gb_per_s, spec, machine.free,
+        machine.array_capacity, preempting ? seconds{} : machine.backlog, machine.boot_time,
+        asked.expected, machine.has_image(job.image), machine.pending_fetches);
     if (queue_too_long(machine, offer.queue_time))
         return {};
     round_bid bid{&machine, offer.finish_time(), preempting ? seconds{} : offer.queue_time,
@@ -105,7 +106,7 @@
     return bid;
 }
 
-std::optional<round_bid> bid_round::ask_all(const request &asked) const {
+std::optional<round_bid> bid_round::find_best_bid(const bid_request &asked) const {
     std::optional<round_bid> best;
     for (auto *machine : bidders_) {
         auto bid = bid_of(asked, *machine);
@@ -115,17 +116,17 @@
     return best;
 }
 
-std::optional<round_bid> bid_round::ask_kept(const request &asked) {
-    auto &bids = bids_kept_for(asked);
+std::optional<round_bid> bid_round::find_best_cached_bid(const bid_request &asked) {
+    auto &bids = cached_bids_for(asked);
     auto &heap = bids.heap;
-    const auto &fetching = fetching_[asked.job.image];
-    for (; bids.fetching_seen < fetching.size(); ++bids.fetching_seen)
-        push_bid(heap, asked, *fetching[bids.fetching_seen]);
+    const auto &fetching = fetching_by_image_[asked.job.image];
+    for (; bids.fetching_processed < fetching.size(); ++bids.fetching_processed)
+        push_bid(heap, asked, *fetching[bids.fetching_processed]);
     // Apart from those, bids only rise within a round: an outdated one is worked out anew when it
     // comes to the top.
-    while (!heap.empty() && heap.front().version != heap.front().by->version) {
+    while (!heap.empty() && heap.front().bidder_version != heap.front().bidder->version) {
         std::pop_heap(heap.begin(), heap.end());
-        auto *machine = heap.back().by;
+        auto *machine = heap.back().bidder;
         heap.pop_back();
         push_bid(heap, asked, *machine);
     }
@@ -134,8 +135,8 @@
     return heap.front();
 }
 
-bid_round::job_bids &bid_round::bids_kept_for(const request &asked) {
-    auto [entry, is_new] = kept_.try_emplace(asked.job.spec.id);
+bid_round::job_bids &bid_round::cached_bids_for(const bid_request &asked) {
+    auto [entry, is_new] = cached_bids_.try_emplace(asked.job.spec.id);
     auto &bids = entry->second;
     if (!is_new)
         return bids;
@@ -143,11 +144,11 @@
         if (auto bid = bid_of(asked, *machine))
             bids.heap.push_back(*bid);
     std::make_heap(bids.heap.begin(), bids.heap.end());
-    bids.fetching_seen = fetching_[asked.job.image].size();
+    bids.fetching_processed = fetching_by_image_[asked.job.image].size();
     return bids;
 }
 
-void bid_round::push_bid(std::vector<round_bid> &heap, const request &asked,
+void bid_round::push_bid(std::vector<round_bid> &heap, const bid_request &asked,
                          bidder &machine) const {
     auto bid = bid_of(asked, machine);
     if (!bid)
--- a/src/planning/bid_round.hpp
+++ b/src/planning/bid_round.hpp
@@ -13,14 +13,14 @@
 namespace spindlecroft::planning {
 
 struct round_bid {
-    bidder *by = nullptr;
+    planning::bidder *bidder = nullptr;
     seconds finish_time{};
     seconds queue_time{};
-    std::uint32_t version = 0; // of the bidder when it bid
+    std::uint32_t bidder_version = 0; // of the bidder when it bid
     // For a heap with the best bid on top.
     bool operator<(const round_bid &other) const {
         return finish_time != other.finish_time ? finish_time > other.finish_time
-                                                : by->number > other.by->number;
+                                                : bidder->position > other.bidder->position;
     }
 };
 
@@ -39,7 +39,7 @@
 
   private:
     // What is asked of the machines for one task of a job.
-    struct request {
+    struct bid_request {
         const catalog::job &job;
         const allowed_classes &allowed;
         seconds expected{};       // run time on an ordinary machine
@@ -47,32 +47,32 @@
         time_point now{};
     };
     // Whether any machine bids depends on nothing else of a job.
-    struct need {
+    struct requirements {
         double cpus = 0, gpus = 0, memory_gb = 0;
         bool service = false, critical = false;
         allowed_classes allowed;
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
-        auto operator<=>(const need &) const = default;
+        auto operator<=>(const requirements &) const = default;
     };
     // The bids for the tasks of one job.
     struct job_bids {
         std::vector<round_bid> heap;
-        std::size_t fetching_seen = 0; // of the machines in fetching_ for the job's image
+        std::size_t fetching_processed = 0; // of the machines in fetching_ for the job's image
     };
 
     // What the machine bids; nothing: it has too little free, or not in time.
-    [[nodiscard]] std::optional<round_bid> bid_of(const request &asked, bidder &machine) const;
-    [[nodiscard]] std::optional<round_bid> ask_all(const request &asked) const;
-    [[nodiscard]] std::optional<round_bid> ask_kept(const request &asked);
-    [[nodiscard]] job_bids &bids_kept_for(const request &asked);
-    void push_bid(std::vector<round_bid> &heap, const request &asked, bidder &machine) const;
+    [[nodiscard]] std::optional<round_bid> bid_of(const bid_request &asked, bidder &machine) const;
+    [[nodiscard]] std::optional<round_bid> find_best_bid(const bid_request &asked) const;
+    [[nodiscard]] std::optional<round_bid> find_best_cached_bid(const bid_request &asked);
+    [[nodiscard]] job_bids &cached_bids_for(const bid_request &asked);
+    void push_bid(std::vector<round_bid> &heap, const bid_request &asked, bidder &machine) const;
 
     const model::cluster_state &state_;
     std::vector<bidder *> bidders_;
-    std::map<std::string, job_bids> kept_; // by job
+    std::map<std::string, job_bids> cached_bids_; // by job
     // Machines that began to fetch an image in this round: their bids for it fell.
-    std::map<std::uint32_t, std::vector<bidder *>> fetching_;
-    std::set<need> unmet_; // needs for which no machine bids any more
+    std::map<std::uint32_t, std::vector<bidder *>> fetching_by_image_;
+    std::set<requirements> unmet_requirements_; // needs for which no machine bids any more
 };
 
 } // namespace spindlecroft::planning
--- a/src/planning/bidder.cpp
+++ b/src/planning/bidder.cpp
@@ -3,24 +3,24 @@
 
 namespace spindlecroft::planning {
 
-void bidder::hold(const job_spec &spec, seconds remaining) {
-    free.take(spec);
+void bidder::add_task(const job_spec &spec, seconds remaining) {
+    free.allocate(spec);
     if (spec.shape == job_shape::service) {
-        whole.take(spec);
+        array_capacity.allocate(spec);
     } else {
-        work += remaining;
+        backlog += remaining;
     }
     if (spec.priority == priority_class::critical)
-        critical.take(spec);
+        free_for_critical.allocate(spec);
     if (spec.priority != priority_class::low)
-        above_idle.take(spec);
+        free_above_low.allocate(spec);
 }
 
-bool bidder::fetch(std::uint32_t image) {
+bool bidder::add_fetch(std::uint32_t image) {
     if (has_image(image))
         return false;
-    coming.push_back(image);
-    ++fetches;
+    fetching_images.push_back(image);
+    ++pending_fetches;
     return true;
 }
 
@@ -28,9 +28,9 @@
                     const std::optional<job_spec> &array) {
     if (!array)
         return 0;
-    auto after = machine.whole;
-    after.take(spec);
-    return machine.whole.slots(*array) - after.slots(*array);
+    auto after = machine.array_capacity;
+    after.allocate(spec);
+    return machine.array_capacity.slots(*array) - after.slots(*array);
 }
 
 } // namespace spindlecroft::planning
--- a/src/planning/bidder.hpp
+++ b/src/planning/bidder.hpp
@@ -12,34 +12,36 @@
 namespace spindlecroft::planning {
 
 struct bidder {
-    workers::machine *m = nullptr; // null: rented, not yet named
+    workers::machine *machine = nullptr; // null: rented, not yet named
     const machine_type *type = nullptr;
     std::string zone;
     bool spot = false;
-    std::size_t machine_class = 0; // index in cluster_state::machine_classes()
-    bidding::room free;            // not held by any present or queued task
-    bidding::room critical;        // the same, work of lower priority than critical left out
-    bidding::room above_idle;      // the same, work of the lowest priority left out
-    bidding::room whole;           // what services leave to work that comes and goes
-    seconds work{};                // remaining and queued run time of that work
-    seconds boot_time{};           // until it is up
+    std::size_t machine_class = 0;        // index in cluster_state::machine_classes()
+    bidding::resources free;              // not held by any present or queued task
+    bidding::resources free_for_critical; // the same, work of lower priority than critical left out
+    bidding::resources free_above_low;    // the same, work of the lowest priority left out
+    bidding::resources array_capacity;    // what services leave to work that comes and goes
+    seconds backlog{};                    // remaining and queued run time of that work
+    seconds boot_time{};                  // until it is up
     std::optional<time_point> refreshed_at;
-    int fetches = 0;           // images on their way
+    int pending_fetches = 0;   // images on their way
     std::uint32_t version = 0; // grows with what it holds
-    std::size_t number = 0;    // its position in the round; of equal bids the first wins
-    std::vector<std::uint32_t> cached, coming; // numbers of images: there, and being fetched
+    std::size_t position = 0;  // its position in the round; of equal bids the first wins
+    std::vector<std::uint32_t> cached_images,
+        fetching_images; // numbers of images: there, and being fetched
 
-    [[nodiscard]] static bool holds(const std::vector<std::uint32_t> &list, std::uint32_t image) {
+    [[nodiscard]] static bool contains(const std::vector<std::uint32_t> &list,
+                                       std::uint32_t image) {
         return std::find(list.begin(), list.end(), image) != list.end();
     }
     // The image is there or on its way: a task that needs it does not fetch it again.
     [[nodiscard]] bool has_image(std::uint32_t image) const {
-        return holds(cached, image) || holds(coming, image);
+        return contains(cached_images, image) || contains(fetching_images, image);
     }
     // Counts a present or queued task with so much run time left.
-    void hold(const job_spec &spec, seconds remaining);
+    void add_task(const job_spec &spec, seconds remaining);
     // The image is needed there. False: it is there or coming already.
-    bool fetch(std::uint32_t image);
+    bool add_fetch(std::uint32_t image);
 };
 
 // How many tasks like `array` lose their slot on the machine if it takes a task of `spec`.
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -33,7 +33,7 @@
     return std::max(least_boot_time, machine.type.boot_time * boot_time_margin - age);
 }
 
-std::vector<bidder *> bidder_table::current(time_point now) {
+std::vector<bidder *> bidder_table::eligible_bidders(time_point now) {
     std::vector<bidder *> bidding;
     bidding.reserve(state_.machines().size());
     // Both maps are in the order of names: entries passed over are of machines that are gone.
@@ -52,7 +52,7 @@
             next = bidders_.try_emplace(next, name);
         auto &entry = next->second;
         ++next;
-        entry.m = &machine;
+        entry.machine = &machine;
         entry.boot_time = *boot_time;
         // What nothing has changed on only grows older; that need not be exact.
         if (machine.changed || !entry.refreshed_at || now - *entry.refreshed_at > c::bidder_age)
@@ -69,7 +69,7 @@
 }
 
 void bidder_table::refresh(bidder &entry, time_point now) {
-    auto &machine = *entry.m;
+    auto &machine = *entry.machine;
     machine.changed = false;
     entry.refreshed_at = now;
     entry.type = &machine.type;
@@ -77,36 +77,37 @@
     entry.spot = machine.spot;
     entry.machine_class = machine.place;
     entry.free = {machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
-    entry.critical = entry.above_idle = entry.whole = entry.free;
-    entry.work = seconds{};
-    entry.fetches = 0;
-    entry.cached.clear();
-    entry.coming.clear();
+    entry.free_for_critical = entry.free_above_low = entry.array_capacity = entry.free;
+    entry.backlog = seconds{};
+    entry.pending_fetches = 0;
+    entry.cached_images.clear();
+    entry.fetching_images.clear();
     for (auto &[image, used_at] : machine.images)
-        entry.cached.push_back(state_.image_number(image));
-    hold_attempts(entry, now);
-    hold_queue(entry);
+        entry.cached_images.push_back(state_.image_number(image));
+    add_attempts(entry, now);
+    add_queued_tasks(entry);
 }
 
-void bidder_table::hold_attempts(bidder &entry, time_point now) {
-    state_.for_each_attempt(*entry.m, [&](const catalog::job &job, const catalog::attempt &held) {
-        if (!held.holds_resources())
-            return;
-        // Past its estimate: as much again as a fifth of it, rather than nothing.
-        entry.hold(job.spec, std::max(held.estimate - held.ran_for(now),
-                                      overdue_estimate_share * held.estimate));
-        if (held.phase != attempt_phase::running && held.phase != attempt_phase::checkpointing)
-            entry.fetch(job.image);
-    });
+void bidder_table::add_attempts(bidder &entry, time_point now) {
+    state_.for_each_attempt(
+        *entry.machine, [&](const catalog::job &job, const catalog::attempt &held) {
+            if (!held.holds_resources())
+                return;
+            // Past its estimate: as much again as a fifth of it, rather than nothing.
+            entry.add_task(job.spec, std::max(held.estimate - held.ran_for(now),
+                                              overdue_estimate_share * held.estimate));
+            if (held.phase != attempt_phase::running && held.phase != attempt_phase::checkpointing)
+                entry.add_fetch(job.image);
+        });
 }
 
-void bidder_table::hold_queue(bidder &entry) {
-    for (const auto &queued : entry.m->queue) {
+void bidder_table::add_queued_tasks(bidder &entry) {
+    for (const auto &queued : entry.machine->queue) {
         const auto *job = state_.find_job(queued.task.job);
         if (!job)
             continue;
-        entry.hold(job->spec, queued.estimate);
-        entry.fetch(job->image);
+        entry.add_task(job->spec, queued.estimate);
+        entry.add_fetch(job->image);
     }
 }
 
--- a/src/planning/bidder_table.hpp
+++ b/src/planning/bidder_table.hpp
@@ -18,7 +18,7 @@
 
     // The machines that may get work now, by name, with what they hold brought up to date. They
     // stay valid until the next call.
-    std::vector<bidder *> current(time_point now);
+    std::vector<bidder *> eligible_bidders(time_point now);
     // The machine as it last bid; null if it never did.
     [[nodiscard]] bidder *find(const std::string &machine);
 
@@ -27,8 +27,8 @@
     [[nodiscard]] std::optional<seconds> time_until_up(const workers::machine &machine,
                                                        time_point now) const;
     void refresh(bidder &entry, time_point now);
-    void hold_attempts(bidder &entry, time_point now);
-    void hold_queue(bidder &entry);
+    void add_attempts(bidder &entry, time_point now);
+    void add_queued_tasks(bidder &entry);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -9,7 +9,7 @@
 }
 
 void preemption::begin_round() {
-    candidates_known_ = false;
+    candidates_collected_ = false;
     candidates_.clear();
 }
 
@@ -21,30 +21,30 @@
     // Most of the time nobody is beyond its guarantee; then no machine need be looked at.
     if (!quota_.others_beyond_guarantee(job.spec))
         return nullptr;
-    if (!candidates_known_)
-        find_candidates(round_bidders);
+    if (!candidates_collected_)
+        collect_candidates(round_bidders);
     auto allowed = allowed_classes_for(state_, job);
     for (const auto &which : candidates_) {
-        auto *attempt = stoppable_for(job.spec, which);
+        auto *attempt = preemptible_attempt(job.spec, which);
         if (!attempt)
             continue;
-        auto *machine = machine_for(job.spec, *attempt, allowed, now);
+        auto *machine = bidder_for(job.spec, *attempt, allowed, now);
         if (!machine)
             continue;
         const auto &stopped = state_.find_job(which.task.job)->spec;
         quota_.task_stopping(stopped);
-        stop(*attempt, stop_grace(stopped));
+        preempt(*attempt, stop_grace(stopped));
         return machine;
     }
     return nullptr;
 }
 
-void preemption::find_candidates(const std::vector<bidder *> &round_bidders) {
-    candidates_known_ = true;
+void preemption::collect_candidates(const std::vector<bidder *> &round_bidders) {
+    candidates_collected_ = true;
     for (auto *machine : round_bidders) {
-        if (!machine->m->up)
+        if (!machine->machine->up)
             continue;
-        state_.for_each_attempt(*machine->m,
+        state_.for_each_attempt(*machine->machine,
                                 [&](const catalog::job &job, const catalog::attempt &running) {
                                     const auto &spec = job.spec;
                                     if (spec.shape == job_shape::array &&
@@ -57,7 +57,7 @@
         [](const auto &left, const auto &right) { return left.created_at > right.created_at; });
 }
 
-catalog::attempt *preemption::stoppable_for(const job_spec &spec, const candidate &which) {
+catalog::attempt *preemption::preemptible_attempt(const job_spec &spec, const candidate &which) {
     auto *other = state_.find_job(which.task.job);
     if (!other || other->spec.team == spec.team)
         return nullptr;
@@ -79,10 +79,10 @@
     return &attempt;
 }
 
-bidder *preemption::machine_for(const job_spec &spec, const catalog::attempt &which,
-                                const allowed_classes &allowed, time_point now) {
+bidder *preemption::bidder_for(const job_spec &spec, const catalog::attempt &which,
+                               const allowed_classes &allowed, time_point now) {
     auto *machine = bidders_.find(which.machine);
-    if (!machine || !allowed[machine->machine_class] || !machine->m->takes_work(now) ||
+    if (!machine || !allowed[machine->machine_class] || !machine->machine->takes_work(now) ||
         state_.failures().failed_on(spec.id, which.machine))
         return nullptr;
     return machine;
@@ -94,19 +94,19 @@
                                     priority_class priority) {
     // Work of lower priority makes way for critical work, and the lowest priority for all others;
     // the last to begin loses least.
-    if (priority == priority_class::low || load.stopping)
+    if (priority == priority_class::low || load.has_stopping_task)
         return false;
-    sort_latest_of_lowest_first(load.stoppable);
+    sort_latest_of_lowest_first(load.preemptible);
     auto free = load.free;
     std::vector<catalog::attempt *> chosen;
-    for (auto *attempt : load.stoppable) {
+    for (auto *attempt : load.preemptible) {
         if (free.fits(spec))
             break;
         const auto &job = *state_.find_job(attempt->task.job);
         if (priority != priority_class::critical &&
             (job.spec.priority != priority_class::low || job.live.size() <= 1))
             continue; // the last task of a job stays: it would not begin anew for long
-        free.give(job.spec);
+        free.release(job.spec);
         chosen.push_back(attempt);
     }
     if (!free.fits(spec))
@@ -115,13 +115,13 @@
     for (auto *attempt : chosen) {
         seconds grace = stop_grace(state_.find_job(attempt->task.job)->spec);
         at_once = at_once && grace <= seconds{};
-        stop(*attempt, grace);
+        preempt(*attempt, grace);
     }
     // The placement is written while the others are being stopped; the start follows the commands
     // to stop, in the same message if need be.
     if (!at_once)
         return false;
-    std::erase_if(load.stoppable, [](const auto *attempt) { return attempt->stop_wanted; });
+    std::erase_if(load.preemptible, [](const auto *attempt) { return attempt->stop_wanted; });
     load.free = free;
     return true;
 }
@@ -137,7 +137,7 @@
     });
 }
 
-void preemption::stop(catalog::attempt &which, seconds grace) {
+void preemption::preempt(catalog::attempt &which, seconds grace) {
     ++preempted_tasks_;
     state_.request_stop(which, grace);
 }
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -17,9 +17,10 @@
 
 // What runs on a machine, as seen by the tasks in its queue.
 struct machine_load {
-    bidding::room free;                        // not held by any task
-    std::vector<catalog::attempt *> stoppable; // running work that may be below others in priority
-    bool stopping = false;                     // a task there is being stopped already
+    bidding::resources free; // not held by any task
+    std::vector<catalog::attempt *>
+        preemptible;                // running work that may be below others in priority
+    bool has_stopping_task = false; // a task there is being stopped already
 };
 
 class preemption {
@@ -45,19 +46,20 @@
         time_point created_at{};
         catalog::task_ref task;
     };
-    void find_candidates(const std::vector<bidder *> &round_bidders);
+    void collect_candidates(const std::vector<bidder *> &round_bidders);
     // The candidate's attempt, if a task of the job may take its place now.
-    [[nodiscard]] catalog::attempt *stoppable_for(const job_spec &spec, const candidate &which);
+    [[nodiscard]] catalog::attempt *preemptible_attempt(const job_spec &spec,
+                                                        const candidate &which);
     // The machine of the attempt, if it may take a task of the job.
-    [[nodiscard]] bidder *machine_for(const job_spec &spec, const catalog::attempt &which,
-                                      const allowed_classes &allowed, time_point now);
+    [[nodiscard]] bidder *bidder_for(const job_spec &spec, const catalog::attempt &which,
+                                     const allowed_classes &allowed, time_point now);
     void sort_latest_of_lowest_first(std::vector<catalog::attempt *> &attempts) const;
-    void stop(catalog::attempt &which, seconds grace);
+    void preempt(catalog::attempt &which, seconds grace);
 
     model::cluster_state &state_;
     quota_accounting &quota_;
     bidder_table &bidders_;
-    bool candidates_known_ = false;
+    bool candidates_collected_ = false;
     std::vector<candidate> candidates_; // of this round, the latest first
     std::uint64_t preempted_tasks_ = 0;
 };
--- a/src/planning/queue_starter.cpp
+++ b/src/planning/queue_starter.cpp
@@ -13,7 +13,7 @@
     if (!machine.up || !machine.usable() || machine.silent || !machine.takes_work(now))
         return;
     machine.startable = false;
-    auto load = load_of(machine);
+    auto load = compute_load(machine);
     while (!machine.queue.empty()) {
         const auto &next = machine.queue.front();
         auto *job = state_.find_job(next.task.job);
@@ -24,27 +24,27 @@
         if (!load.free.fits(job->spec) &&
             !preemption_.preempt_for_queued(load, job->spec, next.priority))
             return;
-        load.free.take(job->spec);
-        start_front(machine, *job, now);
+        load.free.allocate(job->spec);
+        start_first(machine, *job, now);
     }
 }
 
-machine_load queue_starter::load_of(workers::machine &machine) {
+machine_load queue_starter::compute_load(workers::machine &machine) {
     machine_load load;
     load.free = {machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &held) {
         if (!held.holds_resources())
             return;
-        load.free.take(job.spec);
+        load.free.allocate(job.spec);
         if (held.stop_wanted)
-            load.stopping = true;
+            load.has_stopping_task = true;
         else if (job.spec.priority > priority_class::critical && held.possibly_running())
-            load.stoppable.push_back(&held);
+            load.preemptible.push_back(&held);
     });
     return load;
 }
 
-void queue_starter::start_front(workers::machine &machine, catalog::job &job, time_point now) {
+void queue_starter::start_first(workers::machine &machine, catalog::job &job, time_point now) {
     auto queued = machine.queue.front();
     machine.queue.pop_front();
     machine.touch();
--- a/src/planning/queue_starter.hpp
+++ b/src/planning/queue_starter.hpp
@@ -7,11 +7,13 @@
 namespace spindlecroft::planning {
 
 // Called for each new attempt: no placement record covers it yet.
-using attempt_created = std::function<void(const catalog::task_ref &task, job_shape shape)>;
+using attempt_created_callback =
+    std::function<void(const catalog::task_ref &task, job_shape shape)>;
 
 class queue_starter {
   public:
-    queue_starter(model::cluster_state &state, preemption &preempting, attempt_created on_created)
+    queue_starter(model::cluster_state &state, preemption &preempting,
+                  attempt_created_callback on_created)
         : state_(state), preemption_(preempting), on_created_(std::move(on_created)) {}
 
     // Looks at the queues on whose machines something changed. At full size most queues wait for
@@ -20,12 +22,12 @@
 
   private:
     void start_queued(workers::machine &machine, time_point now);
-    [[nodiscard]] machine_load load_of(workers::machine &machine);
-    void start_front(workers::machine &machine, catalog::job &job, time_point now);
+    [[nodiscard]] machine_load compute_load(workers::machine &machine);
+    void start_first(workers::machine &machine, catalog::job &job, time_point now);
 
     model::cluster_state &state_;
     preemption &preemption_;
-    attempt_created on_created_;
+    attempt_created_callback on_created_;
 };
 
 } // namespace spindlecroft::planning
--- a/src/planning/quota_accounting.cpp
+++ b/src/planning/quota_accounting.cpp
@@ -64,7 +64,7 @@
 double quota_accounting::cpus_beyond_guarantee(const std::string &team) const {
     const auto *quota = teams_.find(team);
     auto stopping = stopping_cpus_.find(team);
-    return teams_.used(team).cpus - (stopping == stopping_cpus_.end() ? 0 : stopping->second) -
+    return teams_.usage_of(team).cpus - (stopping == stopping_cpus_.end() ? 0 : stopping->second) -
            (quota ? quota->cpus : 0);
 }
 
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 round_planner::round_planner(const settings::settings &settings, model::cluster_state &state,
-                             attempt_created on_created)
+                             attempt_created_callback on_created)
     : settings_(settings), state_(state), quota_(settings, state), bidders_(settings, state),
       preemption_(state, quota_, bidders_), starter_(state, preemption_, std::move(on_created)) {}
 
@@ -33,7 +33,7 @@
 // again. Bidding again only as many as the idle machines hold left replicas in the queues of
 // machines that boot late, and queues out of their team's order.
 void round_planner::rebid_queued(time_point now) {
-    if (!elapsed(last_rebid_, c::idle_rebid, now) || !idle_while_tasks_wait())
+    if (!elapsed(last_rebid_, c::idle_rebid, now) || !has_idle_machine_while_tasks_wait())
         return;
     last_rebid_ = now;
     for (auto &[name, machine] : state_.machines())
@@ -41,7 +41,7 @@
             state_.clear_queue(machine);
 }
 
-bool round_planner::idle_while_tasks_wait() const {
+bool round_planner::has_idle_machine_while_tasks_wait() const {
     bool waiting = false, idle = false;
     for (const auto &[name, machine] : state_.machines()) {
         if (!machine.queue.empty())
@@ -55,16 +55,16 @@
 void round_planner::plan(time_point now) {
     quota_.begin_round();
     preemption_.begin_round();
-    bid_round round(state_, bidders_.current(now));
+    bid_round round(state_, bidders_.eligible_bidders(now));
     int turns_taken = 0;
     for (auto priority : by_priority)
-        serve(priority, round, turns_taken, now);
+        place_waiting_tasks(priority, round, turns_taken, now);
     starter_.start_all(now);
 }
 
-void round_planner::serve(priority_class priority, bid_round &round, int &turns_taken,
-                          time_point now) {
-    auto teams = waiting_turns(priority, round, now);
+void round_planner::place_waiting_tasks(priority_class priority, bid_round &round, int &turns_taken,
+                                        time_point now) {
+    auto teams = collect_turns(priority, round, now);
     while (!teams.empty()) {
         if (++turns_taken > c::bids_per_round) {
             state_.request_planning();
@@ -76,14 +76,14 @@
         auto &job = *turn.job;
         bool placed = quota_.teams().within_limit(job.spec) && may_place(state_, job, now) &&
                       place_one(job, round, now);
-        if (!placed || job.waiting() == 0 || --turn.most == 0)
+        if (!placed || job.waiting() == 0 || --turn.max_tasks == 0)
             turns.pop_back();
         if (turns.empty())
             teams.erase(team);
     }
 }
 
-round_planner::turns_by_team round_planner::waiting_turns(priority_class priority,
+round_planner::turns_by_team round_planner::collect_turns(priority_class priority,
                                                           const bid_round &round, time_point now) {
     turns_by_team teams;
     for (auto &[id, job] : state_.jobs())
@@ -123,9 +123,10 @@
     std::uint32_t index = 0;
     if (!job.pop_waiting(index))
         return false;
-    auto &winner = *where->machine;
-    seconds estimate = state_.expected_run_time(job) / std::max(winner.m->speed, c::speed_floor);
-    join_queue(*where, job, index, estimate);
+    auto &winner = *where->bidder;
+    seconds estimate =
+        state_.expected_run_time(job) / std::max(winner.machine->speed, c::speed_floor);
+    enqueue(*where, job, index, estimate);
     round.task_queued(winner, job, estimate);
     quota_.task_queued(job.spec);
     return true;
@@ -141,19 +142,19 @@
             return placement{machine, true};
     if (!best)
         return {};
-    return placement{best->by, false};
+    return placement{best->bidder, false};
 }
 
-void round_planner::join_queue(const placement &where, catalog::job &job, std::uint32_t index,
-                               seconds estimate) {
+void round_planner::enqueue(const placement &where, catalog::job &job, std::uint32_t index,
+                            seconds estimate) {
     const auto &spec = job.spec;
-    auto &machine = *where.machine->m;
+    auto &machine = *where.bidder->machine;
     // First in, first out among equals; higher priority goes before, and so does work for which
     // others were stopped.
     auto position =
         std::find_if(machine.queue.begin(), machine.queue.end(), [&](const auto &queued) {
-            return where.before_equals ? queued.priority >= spec.priority
-                                       : queued.priority > spec.priority;
+            return where.ahead_of_equals ? queued.priority >= spec.priority
+                                         : queued.priority > spec.priority;
         });
     machine.queue.insert(position, workers::queued_task{{spec.id, index}, spec.priority, estimate});
     machine.startable = true;
--- a/src/planning/round_planner.hpp
+++ b/src/planning/round_planner.hpp
@@ -20,7 +20,7 @@
 class round_planner {
   public:
     round_planner(const settings::settings &settings, model::cluster_state &state,
-                  attempt_created on_created);
+                  attempt_created_callback on_created);
     // The parts refer to one another.
     ~round_planner() = default;
     round_planner(const round_planner &) = delete;
@@ -40,20 +40,20 @@
     using turns_by_team = std::map<std::string, std::vector<service_turn>>;
     // Where a task goes.
     struct placement {
-        bidder *machine = nullptr;
-        bool before_equals = false; // other work was stopped for it
+        planning::bidder *bidder = nullptr;
+        bool ahead_of_equals = false; // other work was stopped for it
     };
 
-    [[nodiscard]] bool idle_while_tasks_wait() const;
-    void serve(priority_class priority, bid_round &round, int &turns_taken, time_point now);
-    [[nodiscard]] turns_by_team waiting_turns(priority_class priority, const bid_round &round,
+    [[nodiscard]] bool has_idle_machine_while_tasks_wait() const;
+    void place_waiting_tasks(priority_class priority, bid_round &round, int &turns_taken,
+                             time_point now);
+    [[nodiscard]] turns_by_team collect_turns(priority_class priority, const bid_round &round,
                                               time_point now);
     [[nodiscard]] turns_by_team::iterator next_team(turns_by_team &teams) const;
     bool place_one(catalog::job &job, bid_round &round, time_point now);
     [[nodiscard]] std::optional<placement> choose_machine(const catalog::job &job, bid_round &round,
                                                           time_point now);
-    void join_queue(const placement &where, catalog::job &job, std::uint32_t index,
-                    seconds estimate);
+    void enqueue(const placement &where, catalog::job &job, std::uint32_t index, seconds estimate);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
--- a/src/planning/service_order.cpp
+++ b/src/planning/service_order.cpp
@@ -65,20 +65,20 @@
 
 } // namespace
 
-fairness::waiting_job waiting_job_of(const settings::settings &settings,
-                                     const model::cluster_state &state, const catalog::job &job,
-                                     time_point now) {
+fairness::waiting_job make_waiting_job(const settings::settings &settings,
+                                       const model::cluster_state &state, const catalog::job &job,
+                                       time_point now) {
     seconds expected = state.expected_run_time(job);
     fairness::waiting_job waiting;
     waiting.due_in = due_times_of(settings, job, expected, now);
-    waiting.waited = now - job.ready_at;
-    waiting.begun = job.done_seen > 0 || !job.live.empty();
-    waiting.longest = expected;
+    waiting.wait_time = now - job.ready_at;
+    waiting.has_started = job.done_seen > 0 || !job.live.empty();
+    waiting.min_completion_time = expected;
     // Those done, but not yet durably, hold nothing.
-    waiting.held =
+    waiting.occupied_slots =
         static_cast<double>(job.live.size()) - static_cast<double>(job.done_seen - job.done_count);
-    waiting.work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
-                               running_task_left * waiting.held);
+    waiting.remaining_work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
+                                         running_task_left * waiting.occupied_slots);
     return waiting;
 }
 
@@ -89,7 +89,7 @@
         limit = team->cpus_max / spec.cpus;
     double slots = 0;
     for (const auto *machine : bidders)
-        slots += machine->whole.slots(spec);
+        slots += machine->array_capacity.slots(spec);
     return std::min(slots, limit);
 }
 
@@ -98,10 +98,10 @@
     std::vector<fairness::waiting_job> waiting;
     waiting.reserve(turns.size());
     for (const auto &turn : turns)
-        waiting.push_back(waiting_job_of(settings, state, *turn.job, now));
+        waiting.push_back(make_waiting_job(settings, state, *turn.job, now));
     std::vector<service_turn> sorted;
     for (const auto &next : fairness::serving_order(waiting, slots))
-        sorted.push_back({turns[next.job].job, next.most});
+        sorted.push_back({turns[next.job].job, next.max_tasks});
     turns.assign(sorted.rbegin(), sorted.rend());
 }
 
--- a/src/planning/service_order.hpp
+++ b/src/planning/service_order.hpp
@@ -12,13 +12,13 @@
 // A job's turn in a round of bids.
 struct service_turn {
     catalog::job *job = nullptr;
-    std::uint32_t most = fairness::all_tasks; // tasks in this turn
+    std::uint32_t max_tasks = fairness::all_tasks; // tasks in this turn
 };
 
 // What the order depends on: the job's due times, its remaining work and how long it waited.
-[[nodiscard]] fairness::waiting_job waiting_job_of(const settings::settings &settings,
-                                                   const model::cluster_state &state,
-                                                   const catalog::job &job, time_point now);
+[[nodiscard]] fairness::waiting_job make_waiting_job(const settings::settings &settings,
+                                                     const model::cluster_state &state,
+                                                     const catalog::job &job, time_point now);
 
 // How many tasks like the job's may run at once, by the machines and by the team's limit, if any.
 [[nodiscard]] double slots_for(const job_spec &spec, const std::vector<bidder *> &bidders,
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -20,7 +20,7 @@
     workers::machine &machine;
     channel through;
     start_permission permission;
-    bidding::room room;
+    bidding::resources room;
     std::vector<command> commands;
     std::vector<command> starts; // after all others
 };
@@ -168,7 +168,7 @@
     if (attempt.phase == attempt_phase::committed) {
         if (!composed.room.fits(job.spec))
             return; // placed ahead of the room that is being made for it
-        composed.room.take(job.spec);
+        composed.room.allocate(job.spec);
     }
     attempt.phase = attempt_phase::sent;
     if (composed.through == channel::answer) {
@@ -178,12 +178,12 @@
     composed.starts.push_back(command_for(attempt, command_kind::start, seconds{}));
 }
 
-bidding::room command_composer::room_after_stops(workers::machine &machine) const {
-    bidding::room room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
+bidding::resources command_composer::room_after_stops(workers::machine &machine) const {
+    bidding::resources room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
         bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
         if (attempt.possibly_running() && !stops_now)
-            room.take(job.spec);
+            room.allocate(job.spec);
     });
     return room;
 }
--- a/src/reconciliation/command_composer.hpp
+++ b/src/reconciliation/command_composer.hpp
@@ -53,7 +53,7 @@
     void add_start(composition &composed, const catalog::job &job, catalog::attempt &attempt) const;
     // The room on the machine once the commands to stop at once, which go before the starts, are
     // carried out.
-    [[nodiscard]] bidding::room room_after_stops(workers::machine &machine) const;
+    [[nodiscard]] bidding::resources room_after_stops(workers::machine &machine) const;
 
     model::cluster_state &state_;
     std::optional<time_point> last_token_raise_;
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -192,7 +192,7 @@
     }
     job.took_sum += normal;
     ++job.took_count;
-    state_.estimates().measured(job.spec.job_class, job.spec.estimate, normal);
+    state_.estimates().add_measurement(job.spec.job_class, job.spec.estimate, normal);
 }
 
 void task_reconciler::task_done(catalog::job &job, std::uint32_t index, time_point now) {
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -138,15 +138,15 @@
 
 TEST(chain_order, rank_and_due_time_pass_backwards) {
     auto graph = diamond();
-    auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
-        fairness::chain_member m;
+    auto member = [](const std::string &id) -> std::optional<fairness::job_urgency> {
+        fairness::job_urgency m;
         m.priority = id == "publish" ? priority_class::high : priority_class::low;
         m.duration = id == "tally" ? 30s : 10s;
         if (id == "publish")
             m.due = fairness::due_times{at(100), at(150)};
         return m;
     };
-    auto from = fairness::inherit(graph, member);
+    auto from = fairness::inherit_urgency(graph, member);
     EXPECT_EQ(from.at("tally").due->first, at(90));
     EXPECT_EQ(from.at("draft").due->last, at(140));
     // By way of the tally, which takes longer than the draft.
@@ -158,11 +158,11 @@
 
 TEST(chain_order, what_is_over_asks_for_nothing) {
     auto graph = diamond();
-    auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
+    auto member = [](const std::string &id) -> std::optional<fairness::job_urgency> {
         if (id == "publish")
             return {};
-        return fairness::chain_member{priority_class::low, {}, 10s};
+        return fairness::job_urgency{priority_class::low, {}, 10s};
     };
-    EXPECT_EQ(fairness::inherit(graph, member).at("harvest").priority, priority_class::low);
-    EXPECT_FALSE(fairness::inherit(graph, member).count("tally"));
+    EXPECT_EQ(fairness::inherit_urgency(graph, member).at("harvest").priority, priority_class::low);
+    EXPECT_FALSE(fairness::inherit_urgency(graph, member).count("tally"));
 }
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -100,11 +100,12 @@
         auto order = fairness::serving_order(waiting, slots);
         auto next = order.begin();
         for (auto &slot_free_at : free_at) {
-            while (next != order.end() && (next->most == 0 || jobs[which[next->job]].left == 0))
+            while (next != order.end() &&
+                   (next->max_tasks == 0 || jobs[which[next->job]].left == 0))
                 ++next;
             if (slot_free_at > now || next == order.end())
                 continue;
-            --next->most;
+            --next->max_tasks;
             start_task(jobs[which[next->job]], now);
             slot_free_at = now + run_time;
         }
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -358,7 +358,7 @@
     fleet::scale_out scale_out(settings, state, offers, requests);
     auto &machine = add_running("i-1", "a");
     auto planned_machine = fleet::make_unnamed_machine(machine.type, "a", false);
-    planned_machine.m = &machine;
+    planned_machine.machine = &machine;
     fleet::planned_machines planned{planned_machine,
                                     fleet::make_unnamed_machine(machine.type, "b", false)};
     EXPECT_EQ(scale_out.plan_spare_capacity(planned, at(1)), std::set<std::string>{"i-1"});
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -68,7 +68,7 @@
     planning::bid_round begin_round() {
         quota.begin_round();
         preemption.begin_round();
-        return {state, bidders.current(now)};
+        return {state, bidders.eligible_bidders(now)};
     }
 };
 
@@ -155,7 +155,7 @@
     auto round = all.begin_round();
     auto best = round.best_bid(all.add_job("job-1", "blue", 2), now);
     ASSERT_TRUE(best);
-    EXPECT_EQ(best->by->m->name, "i-1");
+    EXPECT_EQ(best->bidder->machine->name, "i-1");
 }
 
 TEST_F(bid_rounds, the_lowest_bid_wins) {
@@ -164,7 +164,7 @@
     auto round = all.begin_round();
     auto best = round.best_bid(all.add_job("job-1", "blue", 1), now);
     ASSERT_TRUE(best);
-    EXPECT_EQ(best->by->m->name, "i-2") << "it need not fetch the image";
+    EXPECT_EQ(best->bidder->machine->name, "i-2") << "it need not fetch the image";
     EXPECT_EQ(best->finish_time, 30s);
 }
 
@@ -175,28 +175,28 @@
     auto round = all.begin_round();
     auto first = round.best_bid(job, now);
     ASSERT_TRUE(first);
-    EXPECT_EQ(first->by->m->name, "i-1");
-    round.task_queued(*first->by, job, 30s);
+    EXPECT_EQ(first->bidder->machine->name, "i-1");
+    round.task_queued(*first->bidder, job, 30s);
     auto second = round.best_bid(job, now);
     ASSERT_TRUE(second);
-    EXPECT_EQ(second->by->m->name, "i-2");
+    EXPECT_EQ(second->bidder->machine->name, "i-2");
 }
 
 TEST_F(bid_rounds, figures_of_removed_machines_are_forgotten) {
     all.add_machine("i-1");
     all.add_machine("i-2");
-    EXPECT_EQ(all.bidders.current(now).size(), 2u);
+    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 2u);
     all.state.remove_machine("i-1", now);
-    EXPECT_EQ(all.bidders.current(now).size(), 1u);
+    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 1u);
     EXPECT_EQ(all.bidders.find("i-1"), nullptr);
     EXPECT_NE(all.bidders.find("i-2"), nullptr);
 }
 
 TEST_F(bid_rounds, a_machine_without_new_work_keeps_its_figures) {
     auto &machine = all.add_machine("i-1");
-    EXPECT_EQ(all.bidders.current(now).size(), 1u);
+    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 1u);
     machine.silent = true;
-    EXPECT_TRUE(all.bidders.current(now).empty());
+    EXPECT_TRUE(all.bidders.eligible_bidders(now).empty());
     EXPECT_NE(all.bidders.find("i-1"), nullptr);
 }
 
@@ -213,7 +213,7 @@
     EXPECT_TRUE(job.guaranteed);
     auto *machine = all.preemption.preempt_for_guarantee(job, round.bidders(), now);
     ASSERT_NE(machine, nullptr);
-    EXPECT_EQ(machine->m->name, "i-2");
+    EXPECT_EQ(machine->machine->name, "i-2");
     EXPECT_TRUE(later.stop_wanted);
     EXPECT_FALSE(earlier.stop_wanted);
     EXPECT_FALSE(green.stop_wanted);
@@ -303,8 +303,8 @@
     auto &job = all.add_job(spec);
     job.accepted_at = at(50);
     job.ready_at = at(80);
-    auto waiting = planning::waiting_job_of(all.settings, all.state, job, now);
+    auto waiting = planning::make_waiting_job(all.settings, all.state, job, now);
     EXPECT_EQ(waiting.due_in, (std::vector<seconds>{20s, 150s}));
-    EXPECT_EQ(waiting.waited, 20s);
-    EXPECT_EQ(waiting.work, 30s);
+    EXPECT_EQ(waiting.wait_time, 20s);
+    EXPECT_EQ(waiting.remaining_work, 30s);
 }
