--- a/src/control/cloud_duties.cpp
+++ b/src/control/cloud_operations.cpp
@@ -1,4 +1,4 @@
-#include "control/cloud_duties.hpp"
+#include "control/cloud_operations.hpp"
 #include "constants.hpp"
 #include "wire/codec.hpp"
 
@@ -29,23 +29,23 @@
         else if (refused(reply))
             core.on_rent_refused(wanted.request, steady_now());
         else
-            core.on_rent_unsure(wanted.request, steady_now());
+            core.on_rent_outcome_unknown(wanted.request, steady_now());
     } catch (const wire::malformed_message &error) {
         spdlog::warn("renting: {}", error.what());
-        core.on_rent_unsure(wanted.request, steady_now());
+        core.on_rent_outcome_unknown(wanted.request, steady_now());
     }
 }
 
 } // namespace
 
-awaitable<void> cloud_duties::watch(std::shared_ptr<leadership> by) {
+awaitable<void> cloud_operations::run_polling(std::shared_ptr<leadership> by) {
     auto next_types = steady_now() + c::types_refresh;
     while (by->may_act()) {
         auto asked = steady_now();
-        auto machines = co_await read_list(by);
+        auto machines = co_await list_machines(by);
         if (machines && by->may_act()) {
             by->active_scheduler()->on_machine_list(*machines, asked, steady_now());
-            by->wake.notify();
+            by->work_available.notify();
         }
         if (steady_now() > next_types) {
             next_types = steady_now() + c::types_refresh;
@@ -56,7 +56,7 @@
 }
 
 awaitable<std::optional<std::vector<listed_machine>>>
-cloud_duties::read_list(std::shared_ptr<leadership> by) {
+cloud_operations::list_machines(std::shared_ptr<leadership> by) {
     std::vector<listed_machine> machines;
     std::string after;
     while (by->may_act()) {
@@ -78,20 +78,21 @@
     co_return std::nullopt;
 }
 
-awaitable<void> cloud_duties::refresh_types(std::shared_ptr<leadership> by) {
+awaitable<void> cloud_operations::refresh_types(std::shared_ptr<leadership> by) {
     auto reply = co_await cloud_.call(by, "GET", wire::path_machine_types, "");
     if (!reply.ok() || !by->may_act())
         co_return;
     try {
         auto types = wire::parse_machine_types(reply.body);
         if (!types.empty())
-            by->active_scheduler()->on_types(std::move(types));
+            by->active_scheduler()->set_machine_types(std::move(types));
     } catch (const wire::malformed_message &error) {
         spdlog::warn("machine types: {}", error.what());
     }
 }
 
-awaitable<void> cloud_duties::rent(std::shared_ptr<leadership> by, rental_request wanted) {
+awaitable<void> cloud_operations::rent_machines(std::shared_ptr<leadership> by,
+                                                rental_request wanted) {
     if (!by->may_act())
         co_return;
     auto reply =
@@ -99,11 +100,11 @@
     if (!by->may_act())
         co_return;
     tell_outcome(*by->active_scheduler(), wanted, reply);
-    by->wake.notify();
+    by->work_available.notify();
 }
 
-awaitable<void> cloud_duties::delete_machines(std::shared_ptr<leadership> by,
-                                              std::vector<std::string> names) {
+awaitable<void> cloud_operations::delete_machines(std::shared_ptr<leadership> by,
+                                                  std::vector<std::string> names) {
     auto reply =
         co_await cloud_.call(by, "POST", wire::path_delete_machines, wire::encode_deletion(names));
     if (!reply.ok())
@@ -115,7 +116,7 @@
         core->on_deleted(names, steady_now());
     else
         core->on_delete_failed(names);
-    by->wake.notify();
+    by->work_available.notify();
 }
 
 } // namespace spindlecroft::control
--- a/src/control/cloud_duties.hpp
+++ b/src/control/cloud_operations.hpp
@@ -10,20 +10,20 @@
 
 namespace spindlecroft::control {
 
-class cloud_duties {
+class cloud_operations {
   public:
-    explicit cloud_duties(cloud_client &cloud) : cloud_(cloud) {}
+    explicit cloud_operations(cloud_client &cloud) : cloud_(cloud) {}
     // Runs until the leadership ends.
-    net::awaitable<void> watch(std::shared_ptr<leadership> by);
+    net::awaitable<void> run_polling(std::shared_ptr<leadership> by);
     // Each tells the scheduler the outcome.
-    net::awaitable<void> rent(std::shared_ptr<leadership> by, rental_request wanted);
+    net::awaitable<void> rent_machines(std::shared_ptr<leadership> by, rental_request wanted);
     net::awaitable<void> delete_machines(std::shared_ptr<leadership> by,
                                          std::vector<std::string> names);
 
   private:
     // Every page of the list; nothing if one could not be read.
     net::awaitable<std::optional<std::vector<listed_machine>>>
-    read_list(std::shared_ptr<leadership> by);
+    list_machines(std::shared_ptr<leadership> by);
     net::awaitable<void> refresh_types(std::shared_ptr<leadership> by);
 
     cloud_client &cloud_;
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -61,29 +61,30 @@
 
 // Guards against a start that waits for a whole heartbeat interval: what became urgent while a
 // command to the same machine is under way goes after it.
-void command_sender::send_urgent() {
-    auto &core = *by_->active_scheduler();
-    for (auto &machine : core.take_urgent()) {
-        if (busy_.contains(machine) || busy_.size() >= sockets_)
-            core.keep_urgent(machine);
+void command_sender::send_urgent_commands() {
+    auto &core = *term_->active_scheduler();
+    for (auto &machine : core.take_urgent_machines()) {
+        if (busy_.contains(machine) || busy_.size() >= max_connections_)
+            core.requeue_urgent_machine(machine);
         else
             net::spawn(io_, send(shared_from_this(), machine), "command");
     }
 }
 
-void command_sender::close_idle(time_point now) {
+void command_sender::close_idle_connections(time_point now) {
     std::erase_if(clients_, [&](const auto &entry) {
         auto &client = entry.second;
         return client.use_count() == 1 && now - client->used_at() > c::summary_gap;
     });
 }
 
-std::optional<command_sender::message> command_sender::compose(const std::string &machine) const {
-    auto &core = *by_->active_scheduler();
+std::optional<command_sender::direct_message>
+command_sender::compose(const std::string &machine) const {
+    auto &core = *term_->active_scheduler();
     const auto *known = core.find_machine(machine);
-    if (!known || known->address.empty() || !by_->may_act())
+    if (!known || known->address.empty() || !term_->may_act())
         return std::nullopt;
-    message what;
+    direct_message what;
     what.machine = machine;
     what.address = known->address;
     what.incarnation = known->incarnation;
@@ -91,11 +92,11 @@
     if (what.commands.empty())
         return std::nullopt;
     what.token = member_.token();
-    what.starts = has_start(what.commands);
+    what.has_start = has_start(what.commands);
     return what;
 }
 
-std::shared_ptr<net::client> command_sender::client_for(const message &what) {
+std::shared_ptr<net::client> command_sender::client_for(const direct_message &what) {
     auto &client = clients_[what.address];
     if (client)
         return client;
@@ -111,7 +112,7 @@
 }
 
 awaitable<void> command_sender::send(std::shared_ptr<command_sender> self, std::string machine) {
-    auto &by = *self->by_;
+    auto &by = *self->term_;
     busy_mark mark(busy_, machine);
     if (!mark.made())
         co_return;
@@ -121,7 +122,7 @@
     ++by.commands_sent;
     auto client = client_for(*what);
     if (!client) {
-        if (what->starts)
+        if (what->has_start)
             by.active_scheduler()->command_resolved(machine);
         co_return;
     }
@@ -130,31 +131,31 @@
     net::permission permitted = [this, &by, &what] {
         if (!by.may_act())
             return false;
-        return !what->starts ||
-               (may_renew() && by.active_scheduler()->starts_wanted(what->commands));
+        return !what->has_start ||
+               (may_renew() && by.active_scheduler()->starts_still_wanted(what->commands));
     };
     auto body = wire::encode_direct_commands(what->token, what->incarnation, what->commands);
     auto reply = co_await client->call("POST", wire::path_commands, std::move(body),
                                        c::worker_timeout, false, std::move(permitted));
     // Guards against commands to a large fleet that use up the sockets its heartbeats need.
-    if (clients_.size() > sockets_ && client.use_count() == 2)
+    if (clients_.size() > max_connections_ && client.use_count() == 2)
         clients_.erase(what->address);
-    take_reply(*what, reply);
+    handle_reply(*what, reply);
 }
 
-void command_sender::take_reply(const message &what, const net::reply &reply) const {
-    auto *core = by_->scheduler_unless_ended();
+void command_sender::handle_reply(const direct_message &what, const net::reply &reply) const {
+    auto *core = term_->scheduler_unless_ended();
     if (!core)
         return;
     auto shown = heartbeat_in(reply, what.machine);
     bool settled = shown || reply.how == net::outcome::not_sent;
-    if (what.starts && settled)
+    if (what.has_start && settled)
         core->command_resolved(what.machine);
-    else if (what.starts)
+    else if (what.has_start)
         core->command_unresolved(what.machine, what.token, what.incarnation);
     if (shown && shown->machine == what.machine)
         core->on_heartbeat(*shown, steady_now(), true);
-    by_->wake.notify();
+    term_->work_available.notify();
 }
 
 } // namespace spindlecroft::control
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -37,46 +37,46 @@
 
 } // namespace
 
-control_loop::control_loop(parts with, std::shared_ptr<leadership> by)
-    : with_(with), by_(std::move(by)),
-      commands_(std::make_shared<command_sender>(with.io, by_, with.member, with.settings,
+control_loop::control_loop(components with, std::shared_ptr<leadership> by)
+    : components_(with), term_(std::move(by)),
+      commands_(std::make_shared<command_sender>(with.io, term_, with.member, with.settings,
                                                  with.command_sockets)),
       next_summary_(steady_now() + c::summary_gap) {}
 
 awaitable<void> control_loop::run() {
-    while (by_->may_act()) {
+    while (term_->may_act()) {
         auto now = steady_now();
         run_round(now);
         // Guards against rounds that follow one another while heartbeats wait for their answers.
         auto pause = std::max(c::control_loop_pause, c::control_loop_rest * (steady_now() - now));
         co_await net::sleep_for(pause);
-        co_await by_->wake.wait_for(c::control_loop_idle);
+        co_await term_->work_available.wait_for(c::control_loop_idle);
     }
     // Entitlement lapsed without a word: leave nothing running on old knowledge.
-    if (!by_->ended() && !with_.member.leading())
-        with_.member.step_down("not entitled any more");
+    if (!term_->ended() && !components_.member.is_leading())
+        components_.member.step_down("not entitled any more");
 }
 
 void control_loop::run_round(time_point now) {
-    auto &core = *by_->active_scheduler();
-    tell_predecessor_ends(core, with_.jobs, now);
-    core.set_state_write_rps(with_.store.write_limit());
+    auto &core = *term_->active_scheduler();
+    apply_predecessor_ends(core, components_.jobs, now);
+    core.set_store_write_rate(components_.store.write_limit());
     core.tick(now);
     submit_writes(now);
     start_cloud_calls(now);
-    commands_->send_urgent();
-    if (now - with_.jobs.fresh_at() > c::leader_fresh)
-        with_.jobs.want_read();
-    by_->forget_cancels_upto(with_.jobs.revision());
+    commands_->send_urgent_commands();
+    if (now - components_.jobs.fresh_at() > c::leader_fresh)
+        components_.jobs.want_read();
+    term_->drop_cancels_through(components_.jobs.revision());
     if (now > next_summary_)
         log_summary(now);
 }
 
 void control_loop::submit_writes(time_point now) {
-    auto most = static_cast<std::size_t>(with_.settings.txn_ops);
-    auto waiting = by_->endings.waiting();
+    auto most = static_cast<std::size_t>(components_.settings.txn_ops);
+    auto waiting = term_->end_writer.waiting();
     auto room = waiting < most ? most - waiting : 0;
-    for (const auto &write : by_->active_scheduler()->take_writes(now, room))
+    for (const auto &write : term_->active_scheduler()->take_writes(now, room))
         submit_write(write);
 }
 
@@ -86,39 +86,40 @@
     change.conditions = write.when;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
-    change.on_outcome = [by = by_, write](store::write_outcome outcome, std::uint64_t) {
+    change.on_outcome = [by = term_, write](store::write_outcome outcome, std::uint64_t) {
         auto *core = by->scheduler_unless_ended();
         if (outcome == store::write_outcome::lost || !core)
             return;
         bool committed = outcome == store::write_outcome::committed;
-        core->on_written(write, committed, steady_now());
-        by->wake.notify();
+        core->on_write_completed(write, committed, steady_now());
+        by->work_available.notify();
     };
-    auto &writer = is_ending(write) ? by_->endings : by_->placements;
+    auto &writer = is_ending(write) ? term_->end_writer : term_->placement_writer;
     writer.submit(std::move(change));
 }
 
 void control_loop::start_cloud_calls(time_point now) {
-    auto &core = *by_->active_scheduler();
-    for (auto &wanted : core.take_rentals(now))
-        net::spawn(with_.io, with_.cloud.rent(by_, wanted), "rent");
+    auto &core = *term_->active_scheduler();
+    for (auto &wanted : core.take_rental_requests(now))
+        net::spawn(components_.io, components_.cloud.rent_machines(term_, wanted), "rent");
     // These look at every machine.
-    if (now < next_look_)
+    if (now < next_fleet_scan_)
         return;
-    next_look_ = now + c::check_gap;
+    next_fleet_scan_ = now + c::check_gap;
     if (auto names = core.take_deletions(now); !names.empty())
-        net::spawn(with_.io, with_.cloud.delete_machines(by_, std::move(names)), "delete");
-    if (core.wants_token_raise(now))
-        with_.member.request_token_raise();
+        net::spawn(components_.io, components_.cloud.delete_machines(term_, std::move(names)),
+                   "delete");
+    if (core.needs_token_raise(now))
+        components_.member.request_token_raise();
 }
 
 void control_loop::log_summary(time_point now) {
     next_summary_ = now + c::summary_gap;
-    commands_->close_idle(now);
+    commands_->close_idle_connections(now);
     spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands",
-                 by_->active_scheduler()->summary(), by_->placements.waiting(),
-                 by_->endings.waiting(), by_->heartbeats_received, by_->commands_sent);
-    by_->heartbeats_received = by_->commands_sent = 0;
+                 term_->active_scheduler()->summary(), term_->placement_writer.waiting(),
+                 term_->end_writer.waiting(), term_->heartbeats_received, term_->commands_sent);
+    term_->heartbeats_received = term_->commands_sent = 0;
 }
 
 } // namespace spindlecroft::control
--- a/src/control/control_loop.hpp
+++ b/src/control/control_loop.hpp
@@ -1,7 +1,7 @@
 // Drives the scheduler while this controller leads: gives it the time, carries out its decisions.
 #pragma once
 #include "catalog/job_cache.hpp"
-#include "control/cloud_duties.hpp"
+#include "control/cloud_operations.hpp"
 #include "control/command_sender.hpp"
 #include "control/leadership.hpp"
 #include "store/key_value_client.hpp"
@@ -12,16 +12,16 @@
 class control_loop {
   public:
     // The parts of the controller that it works with; they outlive it.
-    struct parts {
+    struct components {
         net::asio::io_context &io;
         store::key_value_client &store;
         membership::member &member;
         catalog::job_cache &jobs;
-        cloud_duties &cloud;
+        cloud_operations &cloud;
         const settings::settings &settings;
         std::size_t command_sockets = 0;
     };
-    control_loop(parts with, std::shared_ptr<leadership> by);
+    control_loop(components with, std::shared_ptr<leadership> by);
     // Runs until the leadership may not act any more.
     net::awaitable<void> run();
 
@@ -32,11 +32,11 @@
     void start_cloud_calls(time_point now);
     void log_summary(time_point now);
 
-    parts with_;
-    std::shared_ptr<leadership> by_;
+    components components_;
+    std::shared_ptr<leadership> term_;
     std::shared_ptr<command_sender> commands_;
     time_point next_summary_;
-    time_point next_look_{}; // at what looks at every machine
+    time_point next_fleet_scan_{}; // at what looks at every machine
 };
 
 } // namespace spindlecroft::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -1,7 +1,7 @@
 #include "control/controller.hpp"
 #include "constants.hpp"
-#include "control/answers.hpp"
 #include "control/control_loop.hpp"
+#include "control/error_responses.hpp"
 #include "control/failover.hpp"
 
 namespace spindlecroft::control {
@@ -18,37 +18,37 @@
 }
 
 response wrong_method(const char *right) {
-    return error(405, std::string("use ") + right);
+    return error_response(405, std::string("use ") + right);
 }
 
 // The transactions of a leadership; each holds it until the last one is settled.
 awaitable<void> run_placements(std::shared_ptr<leadership> by) {
-    co_await by->placements.run();
+    co_await by->placement_writer.run();
 }
 
 awaitable<void> run_endings(std::shared_ptr<leadership> by) {
-    co_await by->endings.run();
+    co_await by->end_writer.run();
 }
 
 } // namespace
 
 controller::controller(net::asio::io_context &io, const settings::settings &settings)
     : io_(io), settings_(settings), sockets_(settings::plan_sockets(settings.max_connections)),
-      store_(io, settings_), member_(io, settings_, store_), jobs_(io, store_), types_(store_),
-      progress_(io, member_, [this] { return leadership_; }), user_writes_(io, store_, settings_),
-      queries_(store_, jobs_, progress_),
-      submissions_(settings_, jobs_, types_, queries_, user_writes_),
-      cancels_(settings_, jobs_, queries_, user_writes_,
-               [this](const cancel_notice &notice) {
-                   member_.note_cancel(notice);
-                   apply_cancel(notice);
-               }),
-      heartbeats_(member_, settings_, [this] { return leadership_; }), cloud_(io, settings_),
-      cloud_duties_(cloud_),
-      api_(
+      store_(io, settings_), member_(io, settings_, store_), jobs_(io, store_),
+      machine_types_(store_), progress_(io, member_, [this] { return leadership_; }),
+      user_writes_(io, store_, settings_), queries_(store_, jobs_, progress_),
+      submissions_(settings_, jobs_, machine_types_, queries_, user_writes_),
+      cancellations_(settings_, jobs_, queries_, user_writes_,
+                     [this](const cancel_notice &notice) {
+                         member_.add_cancel(notice);
+                         apply_cancel(notice);
+                     }),
+      heartbeat_service_(member_, settings_, [this] { return leadership_; }), cloud_(io, settings_),
+      cloud_operations_(cloud_),
+      api_server_(
           io, settings_.api, [this](net::request received) { return on_api(std::move(received)); },
           limits_with(sockets_.api), "api"),
-      back_(
+      peer_server_(
           io, settings_.back,
           [this](net::request received) { return on_peer(std::move(received)); },
           limits_with(sockets_.back), "back") {
@@ -58,15 +58,16 @@
 
 void controller::connect_membership() {
     member_.on_elected = [this] { on_elected(); };
-    member_.on_deposed = [this] { on_deposed(); };
-    member_.on_token = [this](std::uint64_t token) {
+    member_.on_leadership_ended = [this] { on_leadership_ended(); };
+    member_.on_token_raised = [this](std::uint64_t token) {
         if (leadership_ && leadership_->active_scheduler())
-            leadership_->active_scheduler()->on_token(token);
+            leadership_->active_scheduler()->set_token(token);
     };
-    member_.records = [this] {
-        return membership::member::records_view{jobs_.loaded(), jobs_.revision(), jobs_.fresh_at()};
+    member_.get_records_status = [this] {
+        return membership::member::records_status{jobs_.loaded(), jobs_.revision(),
+                                                  jobs_.fresh_at()};
     };
-    member_.want_read = [this] { jobs_.want_read(); };
+    member_.request_records_read = [this] { jobs_.want_read(); };
     member_.on_cancels = [this](const std::vector<cancel_notice> &notices) {
         for (const auto &notice : notices)
             apply_cancel(notice);
@@ -76,43 +77,43 @@
 void controller::connect_jobs() {
     jobs_.on_active = [this](const std::string &id, const catalog::cached_job &job) {
         if (job.record.cancelled)
-            member_.note_cancel({id, job.revision, job.record.cancelled_at});
+            member_.add_cancel({id, job.revision, job.record.cancelled_at});
         if (leadership_)
             leadership_->on_job(id, job.record, job.revision);
     };
 }
 
 void controller::start() {
-    back_.start();
-    api_.start();
+    peer_server_.start();
+    api_server_.start();
     net::spawn(io_, member_.run(), "membership");
     net::spawn(io_, jobs_.run_watch(), "watch");
     net::spawn(io_, jobs_.run_reads(), "reads");
     net::spawn(io_, jobs_.run_predecessor_reads(), "predecessor reads");
     net::spawn(io_, user_writes_.run(), "user commits");
-    net::spawn(io_, types_.load(), "machine types");
+    net::spawn(io_, machine_types_.load(), "machine types");
 }
 
 void controller::stop() {
-    types_.stop();
-    api_.stop();
-    back_.stop();
+    machine_types_.stop();
+    api_server_.stop();
+    peer_server_.stop();
     member_.stop();
     jobs_.stop();
     user_writes_.stop();
-    on_deposed();
+    on_leadership_ended();
 }
 
 // --- leading ---
 
 void controller::on_elected() {
-    on_deposed();
+    on_leadership_ended();
     leadership_ = std::make_shared<leadership>(io_, store_, settings_, member_);
     jobs_.prompt(true);
     net::spawn(io_, lead(leadership_), "take over");
 }
 
-void controller::on_deposed() {
+void controller::on_leadership_ended() {
     if (!leadership_)
         return;
     jobs_.prompt(false);
@@ -124,12 +125,12 @@
     failover reading(by, store_, cloud_, jobs_, member_, settings_);
     if (!co_await reading.run())
         co_return;
-    types_.learn(reading.types());
+    machine_types_.set_if_unknown(reading.types());
     net::spawn(io_, run_placements(by), "commits");
     net::spawn(io_, run_endings(by), "records");
-    net::spawn(io_, cloud_duties_.watch(by), "cloud");
-    control_loop loop({io_, store_, member_, jobs_, cloud_duties_, settings_, sockets_.commands},
-                      by);
+    net::spawn(io_, cloud_operations_.run_polling(by), "cloud");
+    control_loop loop(
+        {io_, store_, member_, jobs_, cloud_operations_, settings_, sockets_.commands}, by);
     co_await loop.run();
 }
 
@@ -146,10 +147,10 @@
     if (path == wire::path_heartbeat) {
         if (received.method != "POST")
             co_return wrong_method("POST");
-        auto answer = co_await heartbeats_.on_heartbeat(std::move(received.body));
+        auto answer = co_await heartbeat_service_.on_heartbeat(std::move(received.body));
         // Guards against workers that find no socket: beyond the bound each comes anew for its
         // heartbeat.
-        answer.close = answer.close || api_.crowded();
+        answer.close = answer.close || api_server_.crowded();
         co_return answer;
     }
     if (path == wire::path_ready) {
@@ -158,8 +159,8 @@
         co_return ready();
     }
     // Users are shed before workers, whose leases would run out.
-    if (api_.crowded()) {
-        auto answer = unsure("too many connections");
+    if (api_server_.crowded()) {
+        auto answer = unavailable_response("too many connections");
         answer.close = true;
         co_return answer;
     }
@@ -175,16 +176,16 @@
         co_return co_await submissions_.on_submit(std::move(received.body));
     }
     if (!path.starts_with(jobs + "/"))
-        co_return error(404, "no such path");
+        co_return error_response(404, "no such path");
     auto id = path.substr(jobs.size() + 1);
     if (id.ends_with(suffix)) {
         id.resize(id.size() - suffix.size());
         if (received.method != "POST")
             co_return wrong_method("POST");
-        co_return co_await cancels_.on_cancel(std::move(id));
+        co_return co_await cancellations_.on_cancel(std::move(id));
     }
     if (id.find('/') != std::string::npos)
-        co_return error(404, "no such path");
+        co_return error_response(404, "no such path");
     if (received.method != "GET")
         co_return wrong_method("GET");
     co_return co_await queries_.on_poll(std::move(id));
@@ -192,26 +193,26 @@
 
 awaitable<response> controller::on_peer(net::request received) {
     if (received.method != "POST" || received.target != "/member")
-        co_return error(404, "no such path");
+        co_return error_response(404, "no such path");
     try {
         auto message = wire::parse_peer(received.body);
         if (message.text("kind") == "progress")
-            co_return response{200, wire::encode_peer(progress_.answer()), 0, true};
-        co_return response{200, member_.on_message(received.body), 0, true};
+            co_return response{200, wire::encode_peer(progress_.make_response()), 0, true};
+        co_return response{200, member_.handle_message(received.body), 0, true};
     } catch (const wire::malformed_message &malformed) {
-        co_return error(400, malformed.what());
+        co_return error_response(400, malformed.what());
     }
 }
 
 response controller::ready() const {
-    if (!jobs_.loaded() || !types_.get())
-        return unsure("starting");
+    if (!jobs_.loaded() || !machine_types_.get())
+        return unavailable_response("starting");
     // Cut from the store while others are not: they serve better. A controller that hears neither
     // it nor any other controller can't tell, and is no better.
-    if (membership::better_served_elsewhere(store_.silence(steady_now()),
-                                            member_.state_served_elsewhere(),
-                                            member_.isolated_for(c::isolated_after)))
-        return unsure("no state service");
+    if (membership::should_divert_users(store_.silence(steady_now()),
+                                        member_.store_reachable_elsewhere(),
+                                        member_.is_isolated_for(c::isolated_after)))
+        return unavailable_response("no state service");
     return {200, "{}", 0, false};
 }
 
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -3,13 +3,13 @@
 #pragma once
 #include "catalog/job_cache.hpp"
 #include "control/cloud_client.hpp"
-#include "control/cloud_duties.hpp"
+#include "control/cloud_operations.hpp"
 #include "control/heartbeat_service.hpp"
-#include "control/job_cancels.hpp"
+#include "control/job_cancellations.hpp"
 #include "control/job_queries.hpp"
 #include "control/job_submissions.hpp"
-#include "control/known_types.hpp"
 #include "control/leadership.hpp"
+#include "control/machine_type_catalog.hpp"
 #include "control/task_progress.hpp"
 #include "control/user_writes.hpp"
 #include "membership/member.hpp"
@@ -35,7 +35,7 @@
     void connect_membership();
     void connect_jobs();
     void on_elected();
-    void on_deposed();
+    void on_leadership_ended();
     net::awaitable<void> lead(std::shared_ptr<leadership> by);
     void apply_cancel(const cancel_notice &notice);
 
@@ -46,17 +46,17 @@
     membership::member member_;
     catalog::job_cache jobs_;
     std::shared_ptr<leadership> leadership_; // while this controller leads
-    known_types types_;
+    machine_type_catalog machine_types_;
     task_progress progress_;
     user_writes user_writes_;
     job_queries queries_;
     job_submissions submissions_;
-    job_cancels cancels_;
-    heartbeat_service heartbeats_;
+    job_cancellations cancellations_;
+    heartbeat_service heartbeat_service_;
     cloud_client cloud_;
-    cloud_duties cloud_duties_;
-    net::server api_;
-    net::server back_;
+    cloud_operations cloud_operations_;
+    net::server api_server_;
+    net::server peer_server_;
 };
 
 } // namespace spindlecroft::control
--- a/src/control/answers.hpp
+++ b/src/control/error_responses.hpp
@@ -7,13 +7,13 @@
 
 namespace spindlecroft::control {
 
-inline net::response error(int status, const std::string &what, int retry = 0) {
+inline net::response error_response(int status, const std::string &what, int retry = 0) {
     return {status, wire::encode_error(what), retry, false};
 }
 
 // 503: can't be decided now, to be asked again.
-inline net::response unsure(const std::string &what) {
-    return error(503, what, constants::retry_after_s);
+inline net::response unavailable_response(const std::string &what) {
+    return error_response(503, what, constants::retry_after_s);
 }
 
 } // namespace spindlecroft::control
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -37,22 +37,22 @@
     co_await read_types();
     co_await read_records();
     co_await read_jobs();
-    if (!by_->may_act())
+    if (!term_->may_act())
         co_return false;
     auto made = std::make_unique<scheduler>(settings_, types_);
     auto now = steady_now();
     made->begin(now, member_.token(), wall_clock{now, net::wall_now()});
     load(*made, now);
-    by_->forget_cancels_upto(jobs_.revision());
+    term_->drop_cancels_through(jobs_.revision());
     store_types();
-    by_->activate(std::move(made), now);
+    term_->activate(std::move(made), now);
     spdlog::info("took over in {:.2f} s: {}", (steady_now() - began).count(),
-                 by_->active_scheduler()->summary());
+                 term_->active_scheduler()->summary());
     co_return true;
 }
 
 awaitable<void> failover::read_types() {
-    while (by_->may_act() && types_.empty()) {
+    while (term_->may_act() && types_.empty()) {
         co_await read_stored_types();
         if (types_.empty())
             co_await net::sleep_for(c::state_retry);
@@ -77,7 +77,7 @@
 }
 
 awaitable<void> failover::read_types_from_cloud() {
-    auto reply = co_await cloud_.call(by_, "GET", wire::path_machine_types, "");
+    auto reply = co_await cloud_.call(term_, "GET", wire::path_machine_types, "");
     if (!reply.ok())
         co_return;
     try {
@@ -88,7 +88,7 @@
 }
 
 awaitable<void> failover::read_records() {
-    while (by_->may_act() && !records_.complete()) {
+    while (term_->may_act() && !records_.complete()) {
         if (!records_.suspects)
             records_.suspects =
                 co_await store_.list(store::keys::suspect_jobs, request_priority::leadership);
@@ -108,7 +108,7 @@
 
 awaitable<void> failover::read_jobs() {
     bool read = false;
-    while (by_->may_act() && !read)
+    while (term_->may_act() && !read)
         read = co_await jobs_.catch_up(c::failover_read);
 }
 
@@ -116,8 +116,8 @@
     for (const auto &[id, job] : jobs_.all())
         into.load_job(id, job.record, job.revision, now);
     load_records(into, now);
-    tell_predecessor_ends(into, jobs_, now);
-    into.loaded(now);
+    apply_predecessor_ends(into, jobs_, now);
+    into.finish_loading(now);
 }
 
 void failover::load_records(scheduler &into, time_point now) {
@@ -125,7 +125,7 @@
         into.load_done(name, wire::parse_done(value));
     };
     auto load_placements = [&](const std::string &name, const std::string &value) {
-        into.load_placed(name, wire::parse_placed(value), now);
+        into.load_placements(name, wire::parse_placed(value), now);
     };
     auto load_rentals = [&](const std::string &name, const std::string &value) {
         into.load_rental(name, wire::parse_rental_record(value), now);
@@ -136,27 +136,27 @@
     auto placements_unreadable = [&] { into.load_unreadable_placements(now); };
     // Tasks of an unreadable done record run again; machines of an unreadable rental record are
     // used or returned as they appear; suspect jobs are found out again.
-    load_each(*records_.done, by_->endings, store::keys::done_tasks_prefix, load_done,
+    load_each(*records_.done, term_->end_writer, store::keys::done_tasks_prefix, load_done,
               nothing_lost);
-    load_each(*records_.placements, by_->placements, store::keys::placements_prefix,
+    load_each(*records_.placements, term_->placement_writer, store::keys::placements_prefix,
               load_placements, placements_unreadable);
-    load_each(*records_.rentals, by_->placements, store::keys::rentals_prefix, load_rentals,
+    load_each(*records_.rentals, term_->placement_writer, store::keys::rentals_prefix, load_rentals,
               nothing_lost);
-    load_each(*records_.suspects, by_->endings, "", load_suspects, nothing_lost);
+    load_each(*records_.suspects, term_->end_writer, "", load_suspects, nothing_lost);
 }
 
 void failover::store_types() {
-    by_->placements.set_revision(store::keys::machine_types, types_revision_);
+    term_->placement_writer.set_revision(store::keys::machine_types, types_revision_);
     if (types_revision_ != 0 && !types_unreadable_)
         return;
     store::write_unit change;
     change.owned = true;
     change.ops = {{store::keys::machine_types, wire::encode_machine_types(types_), 0}};
     change.priority = request_priority::accept;
-    by_->placements.submit(std::move(change));
+    term_->placement_writer.submit(std::move(change));
 }
 
-void tell_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now) {
+void apply_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now) {
     for (const auto &id : to.unresolved_predecessors())
         if (const auto *end = jobs.dependencies().end_of(id))
             to.on_predecessor_end(id, *end, now);
--- a/src/control/failover.hpp
+++ b/src/control/failover.hpp
@@ -15,7 +15,7 @@
     failover(std::shared_ptr<leadership> by, store::key_value_client &store, cloud_client &cloud,
              catalog::job_cache &jobs, const membership::member &member,
              const settings::settings &settings)
-        : by_(std::move(by)), store_(store), cloud_(cloud), jobs_(jobs), member_(member),
+        : term_(std::move(by)), store_(store), cloud_(cloud), jobs_(jobs), member_(member),
           settings_(settings) {}
     // Reads until everything is read, then activates the leadership's scheduler. False: the
     // leadership ended before.
@@ -38,7 +38,7 @@
     void load_records(scheduler &into, time_point now);
     void store_types();
 
-    std::shared_ptr<leadership> by_;
+    std::shared_ptr<leadership> term_;
     store::key_value_client &store_;
     cloud_client &cloud_;
     catalog::job_cache &jobs_;
@@ -51,6 +51,6 @@
 };
 
 // What the records say of predecessors that the scheduler knows nothing of.
-void tell_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now);
+void apply_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now);
 
 } // namespace spindlecroft::control
--- a/src/control/heartbeat_service.cpp
+++ b/src/control/heartbeat_service.cpp
@@ -1,6 +1,6 @@
 #include "control/heartbeat_service.hpp"
 #include "constants.hpp"
-#include "control/answers.hpp"
+#include "control/error_responses.hpp"
 #include "control/lease_renewal.hpp"
 
 namespace spindlecroft::control {
@@ -30,9 +30,9 @@
 }
 
 awaitable<response> heartbeat_service::on_heartbeat(std::string body) {
-    member_.note_heartbeat();
-    auto by = current_();
-    if (!member_.leading() || !by)
+    member_.on_heartbeat();
+    auto by = get_leadership_();
+    if (!member_.is_leading() || !by)
         co_return redirect();
     // A new leader that is still reading the records has an answer within moments.
     auto limit = steady_now() + c::failover_wait;
@@ -41,34 +41,34 @@
     if (!by->active_scheduler() || !by->may_act())
         co_return redirect();
     try {
-        co_return answer(by, wire::parse_heartbeat(body));
+        co_return respond(by, wire::parse_heartbeat(body));
     } catch (const wire::malformed_message &malformed) {
         spdlog::warn("a report was malformed: {}", malformed.what());
-        co_return error(400, malformed.what());
+        co_return error_response(400, malformed.what());
     }
 }
 
-response heartbeat_service::answer(const std::shared_ptr<leadership> &by,
-                                   const heartbeat &received) {
+response heartbeat_service::respond(const std::shared_ptr<leadership> &by,
+                                    const heartbeat &received) {
     auto &core = *by->active_scheduler();
     ++by->heartbeats_received;
     auto now = steady_now();
     auto age = core.on_heartbeat(received, now);
-    by->wake.notify();
+    by->work_available.notify();
     if (age == scheduler::heartbeat_age::dead)
-        return unsure("out of date");
+        return unavailable_response("out of date");
     // Guards against ran_cancelled: where a cancel may have been confirmed that this controller
     // can't know of, only a machine that holds nothing is answered, and it gets nothing to start.
     bool may_renew = may_renew_leases(member_, settings_, now);
-    if (!may_renew && !core.holds_nothing(received))
+    if (!may_renew && !core.has_no_tasks(received))
         return redirect();
-    auto commands = core.commands_for_answer(received.machine, now, may_renew);
+    auto commands = core.commands_for_response(received.machine, now, may_renew);
     auto text = encode_within_line(member_.token(), std::move(commands));
     // Checked right before the answer: without entitlement it must not renew a lease.
     bool still_may_renew = !may_renew || may_renew_leases(member_, settings_, steady_now());
     if (!by->may_act() || !still_may_renew)
         return redirect();
-    core.answered(received.machine, age, steady_now());
+    core.on_response_sent(received.machine, age, steady_now());
     return {200, text, 0, false};
 }
 
--- a/src/control/heartbeat_service.hpp
+++ b/src/control/heartbeat_service.hpp
@@ -12,10 +12,10 @@
 class heartbeat_service {
   public:
     // current: the leadership of this controller, if it leads.
-    using current_leadership = std::function<std::shared_ptr<leadership>()>;
+    using leadership_getter = std::function<std::shared_ptr<leadership>()>;
     heartbeat_service(membership::member &member, const settings::settings &settings,
-                      current_leadership current)
-        : member_(member), settings_(settings), current_(std::move(current)) {}
+                      leadership_getter current)
+        : member_(member), settings_(settings), get_leadership_(std::move(current)) {}
     // 200 with commands; 421 while another controller leads; 400 for a malformed message; 503 for
     // one that is out of date.
     net::awaitable<net::response> on_heartbeat(std::string body);
@@ -23,11 +23,11 @@
   private:
     // 421, with the leader's name if it is known.
     [[nodiscard]] net::response redirect() const;
-    net::response answer(const std::shared_ptr<leadership> &by, const heartbeat &received);
+    net::response respond(const std::shared_ptr<leadership> &by, const heartbeat &received);
 
     membership::member &member_;
     const settings::settings &settings_;
-    current_leadership current_;
+    leadership_getter get_leadership_;
 };
 
 } // namespace spindlecroft::control
--- a/src/control/job_cancels.cpp
+++ b/src/control/job_cancellations.cpp
@@ -1,7 +1,7 @@
-#include "control/job_cancels.hpp"
+#include "control/job_cancellations.hpp"
 #include "catalog/cancelled_record.hpp"
 #include "constants.hpp"
-#include "control/answers.hpp"
+#include "control/error_responses.hpp"
 #include "store/keys.hpp"
 
 namespace spindlecroft::control {
@@ -24,18 +24,18 @@
 
 } // namespace
 
-awaitable<response> job_cancels::on_cancel(std::string id) {
+awaitable<response> job_cancellations::on_cancel(std::string id) {
     if (!wire::valid_job_id(id))
-        co_return error(404, "no such job");
+        co_return error_response(404, "no such job");
     if (!jobs_.loaded() || writes_.full())
-        co_return unsure("starting");
+        co_return unavailable_response("starting");
     auto limit = steady_now() + c::user_request;
     while (steady_now() < limit - c::cancel_round) {
         auto found = co_await queries_.find(id);
         if (found.how == lookup::unavailable)
             break;
         if (found.how == lookup::never_existed)
-            co_return error(404, "no such job");
+            co_return error_response(404, "no such job");
         if (is_final(found.status.state))
             co_return accepted(id, found.status.state);
         const auto *active = jobs_.active(id);
@@ -52,8 +52,8 @@
 }
 
 awaitable<std::optional<store::write_outcome>>
-job_cancels::write_cancel(const std::string &id, const catalog::cached_job &job,
-                          seconds time_limit) {
+job_cancellations::write_cancel(const std::string &id, const catalog::cached_job &job,
+                                seconds time_limit) {
     auto record = catalog::cancelled_record(job.record, net::wall_now(), settings_.value_bytes());
     store::write_unit change;
     change.priority = store::request_priority::cancel;
--- a/src/control/job_cancels.hpp
+++ b/src/control/job_cancellations.hpp
@@ -10,12 +10,12 @@
 
 namespace spindlecroft::control {
 
-class job_cancels {
+class job_cancellations {
   public:
     // Called once a cancel is durable, and before its user is told.
     using durable_handler = std::function<void(const cancel_notice &)>;
-    job_cancels(const settings::settings &settings, catalog::job_cache &jobs, job_queries &queries,
-                user_writes &writes, durable_handler on_durable)
+    job_cancellations(const settings::settings &settings, catalog::job_cache &jobs,
+                      job_queries &queries, user_writes &writes, durable_handler on_durable)
         : settings_(settings), jobs_(jobs), queries_(queries), writes_(writes),
           on_durable_(std::move(on_durable)) {}
     // 200 with "cancelled" or "done", which are final; 404 for a job that nobody submitted; 503
--- a/src/control/job_queries.cpp
+++ b/src/control/job_queries.cpp
@@ -1,6 +1,6 @@
 #include "control/job_queries.hpp"
 #include "constants.hpp"
-#include "control/answers.hpp"
+#include "control/error_responses.hpp"
 
 namespace spindlecroft::control {
 
@@ -25,7 +25,7 @@
 // Guards against a user who stays with a node that can't read: the load balancer moves no open
 // connection, so every question on it would fail while other nodes answer.
 response job_queries::store_unavailable() const {
-    auto answer = unsure("the state service does not answer");
+    auto answer = unavailable_response("the state service does not answer");
     answer.close = store_.silence(steady_now()) > c::state_timeout;
     return answer;
 }
@@ -52,7 +52,7 @@
         status.state = job_state::cancelled;
         return found;
     }
-    if (auto counts = progress_.of(id)) {
+    if (auto counts = progress_.find(id)) {
         status.done = counts->done;
         status.running = counts->running;
     }
@@ -80,15 +80,15 @@
 
 awaitable<response> job_queries::on_poll(std::string id) {
     if (!wire::valid_job_id(id))
-        co_return error(404, "no such job");
+        co_return error_response(404, "no such job");
     if (!jobs_.loaded())
-        co_return unsure("starting");
+        co_return unavailable_response("starting");
     auto found = co_await find(id);
     switch (found.how) {
     case lookup::known:
         co_return response{200, wire::encode_status(found.status), 0, false};
     case lookup::never_existed:
-        co_return error(404, "no such job");
+        co_return error_response(404, "no such job");
     case lookup::unavailable:
         break;
     }
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -1,7 +1,7 @@
 #include "control/job_submissions.hpp"
 #include "bidding/bid.hpp"
 #include "constants.hpp"
-#include "control/answers.hpp"
+#include "control/error_responses.hpp"
 #include "fairness/team_queues.hpp"
 #include "planning/bidder.hpp"
 #include "planning/placement_rules.hpp"
@@ -44,7 +44,7 @@
     return "";
 }
 
-bool job_submissions::known(const std::string &id) const {
+bool job_submissions::is_known(const std::string &id) const {
     return jobs_.active(id) || jobs_.ended(id);
 }
 
@@ -117,14 +117,14 @@
     try {
         spec = wire::parse_submission(body);
     } catch (const wire::malformed_message &malformed) {
-        co_return error(400, malformed.what());
+        co_return error_response(400, malformed.what());
     }
     if (!jobs_.loaded() || !types_.get() || writes_.full())
-        co_return unsure("not yet able to decide");
+        co_return unavailable_response("not yet able to decide");
     auto reason = rejection(spec);
     wire::job_record record;
     record.accepted_at = net::wall_now();
-    if (reason.empty() && !known(spec.id)) {
+    if (reason.empty() && !is_known(spec.id)) {
         auto checked = co_await check_predecessors(spec.predecessors);
         if (checked.how == dependency_check::verdict::unavailable)
             co_return queries_.store_unavailable();
@@ -141,19 +141,19 @@
     if (reason.empty() && value.size() > settings_.value_bytes())
         reason = fmt::format("awaits, frames: the description takes {} bytes, a record holds {}",
                              value.size(), settings_.value_bytes());
-    if (known(spec.id) || !reason.empty())
-        co_return co_await answer_known(spec.id, reason);
+    if (is_known(spec.id) || !reason.empty())
+        co_return co_await respond_to_known(spec.id, reason);
     co_return co_await accept(std::move(record), std::move(value));
 }
 
 // Guards against forgotten: a job that was accepted is never refused afterwards.
-awaitable<response> job_submissions::answer_known(std::string id, std::string rejection) {
+awaitable<response> job_submissions::respond_to_known(std::string id, std::string rejection) {
     auto found = co_await queries_.find(id);
     if (found.how == lookup::known)
         co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
     if (found.how == lookup::unavailable || rejection.empty())
         co_return queries_.store_unavailable();
-    co_return error(422, rejection);
+    co_return error_response(422, rejection);
 }
 
 awaitable<response> job_submissions::accept(wire::job_record record, std::string value) {
@@ -168,7 +168,7 @@
         co_return response{201, wire::encode_accepted(id, state), 0, false};
     }
     if (outcome == store::write_outcome::too_large)
-        co_return error(422, "the description is longer than the state service takes");
+        co_return error_response(422, "the description is longer than the state service takes");
     if (outcome == store::write_outcome::conflict) {
         auto found = co_await queries_.find(id);
         if (found.how == lookup::known)
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -5,9 +5,9 @@
 
 leadership::leadership(net::asio::io_context &io, store::key_value_client &store,
                        const settings::settings &settings, membership::member &member)
-    : placements(io, store, settings, "leader"), endings(io, store, settings, "records"), wake(io),
-      member_(member) {
-    for (auto *writer : {&placements, &endings}) {
+    : placement_writer(io, store, settings, "leader"), end_writer(io, store, settings, "records"),
+      work_available(io), member_(member) {
+    for (auto *writer : {&placement_writer, &end_writer}) {
         writer->fence = [this]() -> std::optional<txn_condition> {
             if (!may_act())
                 return std::nullopt;
@@ -19,9 +19,9 @@
 
 void leadership::end() {
     ended_ = true;
-    placements.stop();
-    endings.stop();
-    wake.notify();
+    placement_writer.stop();
+    end_writer.stop();
+    work_available.notify();
 }
 
 void leadership::activate(std::unique_ptr<scheduler> loaded, time_point now) {
@@ -35,7 +35,7 @@
     if (!scheduler_)
         return;
     scheduler_->on_cancel(notice, net::steady_now());
-    wake.notify();
+    work_available.notify();
 }
 
 void leadership::on_job(const std::string &id, const wire::job_record &record,
@@ -43,16 +43,16 @@
     if (!scheduler_)
         return;
     auto now = net::steady_now();
-    scheduler_->on_job(id, record, revision, now);
+    scheduler_->on_job_record(id, record, revision, now);
     auto told = cancels_.find(id);
     if (told != cancels_.end() && revision >= told->second.revision)
         cancels_.erase(told);
     else if (told != cancels_.end())
         scheduler_->on_cancel(told->second, now);
-    wake.notify();
+    work_available.notify();
 }
 
-void leadership::forget_cancels_upto(std::uint64_t revision) {
+void leadership::drop_cancels_through(std::uint64_t revision) {
     std::erase_if(cancels_, [&](const auto &told) { return told.second.revision <= revision; });
 }
 
--- a/src/control/leadership.hpp
+++ b/src/control/leadership.hpp
@@ -21,7 +21,7 @@
 
     // Whether this leadership may act now. Asked after the last suspension and right before each
     // answer, command, call to the cloud and transaction.
-    [[nodiscard]] bool may_act() const { return !ended_ && member_.leading(); }
+    [[nodiscard]] bool may_act() const { return !ended_ && member_.is_leading(); }
     // Another controller leads, or may lead, from now on.
     void end();
     [[nodiscard]] bool ended() const { return ended_; }
@@ -41,12 +41,12 @@
     // The job's record came: what it says replaces an earlier word about a cancel.
     void on_job(const std::string &id, const wire::job_record &record, std::uint64_t revision);
     // Cancels up to this revision of the store are in the records that were read.
-    void forget_cancels_upto(std::uint64_t revision);
+    void drop_cancels_through(std::uint64_t revision);
 
     // What a start or a rental waits for must not queue behind what can wait: one writes
     // placements, rentals and types, the other what has ended. No key is written by both.
-    store::committer placements, endings;
-    net::signal wake; // the control loop has news
+    store::committer placement_writer, end_writer;
+    net::signal work_available; // the control loop has news
     // Counters since the last line of the log about the fleet.
     std::uint64_t heartbeats_received = 0, commands_sent = 0;
 
--- a/src/control/lease_renewal.hpp
+++ b/src/control/lease_renewal.hpp
@@ -9,8 +9,8 @@
 // time allowed for it, were their leases renewed once more.
 [[nodiscard]] inline bool may_renew_leases(const membership::member &member,
                                            const settings::settings &settings, time_point now) {
-    return membership::may_renew(now, member.cancels_known_until(), settings.lease_duration,
-                                 settings.cancel_deadline);
+    return membership::may_renew_lease(now, member.cancels_complete_until(),
+                                       settings.lease_duration, settings.cancel_deadline);
 }
 
 } // namespace spindlecroft::control
--- a/src/control/known_types.cpp
+++ b/src/control/machine_type_catalog.cpp
@@ -1,22 +1,22 @@
-#include "control/known_types.hpp"
+#include "control/machine_type_catalog.hpp"
 #include "constants.hpp"
 #include "control/scheduler.hpp"
 #include "store/keys.hpp"
 
 namespace spindlecroft::control {
 
-void known_types::learn(std::vector<machine_type> types) {
+void machine_type_catalog::set_if_unknown(std::vector<machine_type> types) {
     if (!types_)
         types_ = std::move(types);
 }
 
-net::awaitable<void> known_types::load() {
+net::awaitable<void> machine_type_catalog::load() {
     while (!stopping_ && !types_) {
         auto stored =
             co_await store_.get(store::keys::machine_types, store::request_priority::accept);
         if (stored && stored->found) {
             try {
-                learn(wire::parse_machine_types(stored->item.value));
+                set_if_unknown(wire::parse_machine_types(stored->item.value));
             } catch (const wire::malformed_message &error) {
                 spdlog::error("machine types: {}", error.what());
             }
--- a/src/control/known_types.hpp
+++ b/src/control/machine_type_catalog.hpp
@@ -7,14 +7,14 @@
 
 namespace spindlecroft::control {
 
-class known_types {
+class machine_type_catalog {
   public:
-    explicit known_types(store::key_value_client &store) : store_(store) {}
+    explicit machine_type_catalog(store::key_value_client &store) : store_(store) {}
     // Reads the stored types, again and again until they are known.
     net::awaitable<void> load();
     void stop() { stopping_ = true; }
     // The first ones that are learned are kept.
-    void learn(std::vector<machine_type> types);
+    void set_if_unknown(std::vector<machine_type> types);
     // Nothing: not known yet.
     const std::optional<std::vector<machine_type>> &get() const { return types_; }
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -33,10 +33,10 @@
 }
 
 void scheduler::load_unreadable_placements(time_point now) {
-    hold_until_ = now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
+    placements_held_until_ = now + settings_.lease_duration * (1 + c::clock_drift) + c::lease_slack;
 }
 
-void scheduler::loaded(time_point now) {
+void scheduler::finish_loading(time_point now) {
     job_loader_.restore_waiting_tasks();
     ready_ = true;
     state_.request_planning();
@@ -53,8 +53,8 @@
     return heartbeats_.reconcile(received, origin, now);
 }
 
-std::vector<command> scheduler::commands_for_answer(const std::string &machine, time_point now,
-                                                    bool starts) {
+std::vector<command> scheduler::commands_for_response(const std::string &machine, time_point now,
+                                                      bool starts) {
     return commands_.for_answer(machine, permission_for(starts), now);
 }
 
@@ -107,7 +107,7 @@
     fleet_.on_record_written(write.rental_round, outcome);
 }
 
-void scheduler::on_written(const durable_write &write, bool committed, time_point now) {
+void scheduler::on_write_completed(const durable_write &write, bool committed, time_point now) {
     state_.request_planning();
     switch (write.kind) {
     case write_kind::placed:
@@ -156,7 +156,7 @@
 void scheduler::plan(time_point now) {
     state_.clear_planning_request();
     last_plan_ = now;
-    if (now < hold_until_)
+    if (now < placements_held_until_)
         return;
     planner_.rebid_queued(now);
     inheritance_.update(dependencies_.graph());
@@ -173,7 +173,7 @@
 
 // --- views ---
 
-std::optional<scheduler::progress> scheduler::job_progress(const std::string &id) const {
+std::optional<scheduler::progress> scheduler::find_progress(const std::string &id) const {
     const auto *job = state_.find_job(id);
     if (!job)
         return {};
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -59,8 +59,8 @@
     void load_done(const std::string &name, const std::vector<wire::done_part> &parts) {
         done_records_.load(name, parts);
     }
-    void load_placed(const std::string &name, const std::vector<wire::placed_task> &tasks,
-                     time_point now) {
+    void load_placements(const std::string &name, const std::vector<wire::placed_task> &tasks,
+                         time_point now) {
         placements_.load(name, tasks, now);
     }
     // A placement record can't be read: what it names may run anywhere until each worker has sent a
@@ -73,12 +73,12 @@
     void load_suspects(const std::vector<std::string> &jobs, time_point now) {
         suspect_record_.load(jobs, now);
     }
-    void loaded(time_point now);
+    void finish_loading(time_point now);
 
     // --- jobs ---
     // The record of an active job, as of this revision.
-    void on_job(const std::string &id, const wire::job_record &record, std::uint64_t revision,
-                time_point now) {
+    void on_job_record(const std::string &id, const wire::job_record &record,
+                       std::uint64_t revision, time_point now) {
         job_loader_.on_record(id, record, revision, now);
     }
     // A cancel that is durable, told before the job's record comes.
@@ -98,19 +98,19 @@
 
     // --- workers ---
     // The leader raised its fencing token.
-    void on_token(std::uint64_t token) { state_.raise_token(token); }
+    void set_token(std::uint64_t token) { state_.raise_token(token); }
     using heartbeat_age = reconciliation::heartbeat_age;
     // reply: it came in the answer to a direct command, not as a heartbeat of its own.
     heartbeat_age on_heartbeat(const heartbeat &received, time_point now, bool reply = false);
     // Neither the heartbeat nor what is possibly running there names a task.
-    [[nodiscard]] bool holds_nothing(const heartbeat &received) const {
+    [[nodiscard]] bool has_no_tasks(const heartbeat &received) const {
         return heartbeats_.holds_nothing(received);
     }
     // Commands to give in the answer to the newest heartbeat. starts: tasks may be started now.
-    std::vector<command> commands_for_answer(const std::string &machine, time_point now,
-                                             bool starts = true);
+    std::vector<command> commands_for_response(const std::string &machine, time_point now,
+                                               bool starts = true);
     // The answer was given: the worker's lease may now last for its whole length from then.
-    void answered(const std::string &machine, heartbeat_age age, time_point now) {
+    void on_response_sent(const std::string &machine, heartbeat_age age, time_point now) {
         heartbeats_.note_answer(machine, age, now);
     }
     // Commands for a direct message; if one is a start, the machine is marked until the message is
@@ -118,7 +118,7 @@
     std::vector<command> direct_commands_for(const std::string &machine, time_point now,
                                              bool starts = true);
     // Whether every start among the commands is still wanted.
-    [[nodiscard]] bool starts_wanted(const std::vector<command> &commands) const {
+    [[nodiscard]] bool starts_still_wanted(const std::vector<command> &commands) const {
         return commands_.starts_wanted(commands);
     }
     // The direct message was executed, or surely never will be.
@@ -130,7 +130,7 @@
     }
 
     // --- the cloud ---
-    void on_types(std::vector<machine_type> types) { state_.set_types(std::move(types)); }
+    void set_machine_types(std::vector<machine_type> types) { state_.set_types(std::move(types)); }
     // A complete list of machines, asked for at asked_at.
     void on_machine_list(const std::vector<listed_machine> &machines, time_point asked_at,
                          time_point now) {
@@ -141,7 +141,7 @@
         fleet_.on_rented(request, machines, now);
     }
     void on_rent_refused(const std::string &request, time_point now);
-    void on_rent_unsure(const std::string &request, time_point now) {
+    void on_rent_outcome_unknown(const std::string &request, time_point now) {
         fleet_.on_rent_unsure(request, now);
     }
     void on_deleted(const std::vector<std::string> &machines, time_point now) {
@@ -153,9 +153,9 @@
 
     // --- the store ---
     // The outcome of a change that was handed out.
-    void on_written(const durable_write &write, bool committed, time_point now);
+    void on_write_completed(const durable_write &write, bool committed, time_point now);
     // Changes a second that the store allows.
-    void set_state_write_rps(double rps) { settings_.state_write_rps = rps; }
+    void set_store_write_rate(double rps) { settings_.state_write_rps = rps; }
 
     // Checks, plans and scales, each as often as it is due.
     void tick(time_point now);
@@ -164,20 +164,22 @@
     // room: how many records that can wait may be handed out now; what waits longer covers more.
     std::vector<durable_write> take_writes(time_point now, std::size_t room = 1000);
     std::vector<std::string> take_deletions(time_point now) { return fleet_.take_deletions(now); }
-    std::vector<rental_request> take_rentals(time_point now) { return fleet_.take_rentals(now); }
+    std::vector<rental_request> take_rental_requests(time_point now) {
+        return fleet_.take_rentals(now);
+    }
     // Machines to which commands should go at once.
-    std::vector<std::string> take_urgent() { return state_.take_urgent(); }
+    std::vector<std::string> take_urgent_machines() { return state_.take_urgent(); }
     // A command to it is under way already: it is to be handed out again.
-    void keep_urgent(const std::string &machine) { state_.mark_urgent(machine); }
+    void requeue_urgent_machine(const std::string &machine) { state_.mark_urgent(machine); }
     // Only a higher token proves that some unresolved command is dead.
-    bool wants_token_raise(time_point now) { return commands_.wants_token_raise(now); }
+    bool needs_token_raise(time_point now) { return commands_.wants_token_raise(now); }
 
     // --- views ---
     struct progress {
         std::uint32_t done = 0, running = 0;
     };
     // Nothing: the job is not active.
-    std::optional<progress> job_progress(const std::string &id) const;
+    std::optional<progress> find_progress(const std::string &id) const;
     const workers::machine *find_machine(const std::string &name) const {
         return state_.find_machine(name);
     }
@@ -213,8 +215,8 @@
     reconciliation::command_composer commands_{state_};
     reconciliation::lease_monitor leases_{state_, settings_};
 
-    bool ready_ = false;                   // the records are loaded
-    std::optional<time_point> hold_until_; // no task is placed before
+    bool ready_ = false;                              // the records are loaded
+    std::optional<time_point> placements_held_until_; // no task is placed before
     std::optional<time_point> last_check_;
     std::optional<time_point> last_plan_;
     std::optional<time_point> last_scaling_;
--- a/src/control/task_progress.cpp
+++ b/src/control/task_progress.cpp
@@ -26,20 +26,20 @@
 
 } // namespace
 
-std::optional<scheduler::progress> task_progress::of(const std::string &job) {
-    auto leading = current_();
+std::optional<scheduler::progress> task_progress::find(const std::string &job) {
+    auto leading = get_leadership_();
     if (leading && leading->active_scheduler())
-        return leading->active_scheduler()->job_progress(job);
-    if (!asking_ && (!asked_at_ || steady_now() - *asked_at_ > c::progress_gap))
-        net::spawn(io_, ask_leader(), "progress");
-    auto found = known_.find(job);
-    return found == known_.end() ? std::nullopt : std::optional(found->second);
+        return leading->active_scheduler()->find_progress(job);
+    if (!query_pending_ && (!last_query_at_ || steady_now() - *last_query_at_ > c::progress_gap))
+        net::spawn(io_, query_leader(), "progress");
+    auto found = leader_counts_.find(job);
+    return found == leader_counts_.end() ? std::nullopt : std::optional(found->second);
 }
 
-wire::peer_message task_progress::answer() const {
+wire::peer_message task_progress::make_response() const {
     wire::peer_message out;
-    auto leading = current_();
-    if (!leading || !leading->active_scheduler() || !member_.leading())
+    auto leading = get_leadership_();
+    if (!leading || !leading->active_scheduler() || !member_.is_leading())
         return out;
     out.numbers[leading_key] = 1;
     for (const auto &[id, job] : leading->active_scheduler()->jobs())
@@ -47,29 +47,29 @@
     return out;
 }
 
-awaitable<void> task_progress::ask_leader() {
-    asking_ = true;
-    auto *leader = member_.peer(member_.leader_hint());
+awaitable<void> task_progress::query_leader() {
+    query_pending_ = true;
+    auto *leader = member_.peer_client(member_.leader_hint());
     if (leader) {
         wire::peer_message question;
         question.texts["kind"] = "progress";
         auto reply = co_await leader->call("POST", "/member", wire::encode_peer(question),
                                            c::peer_timeout, true);
         if (reply.ok())
-            take_answer(reply.body);
+            handle_response(reply.body);
     }
-    asked_at_ = steady_now();
-    asking_ = false;
+    last_query_at_ = steady_now();
+    query_pending_ = false;
 }
 
-void task_progress::take_answer(const std::string &body) {
+void task_progress::handle_response(const std::string &body) {
     try {
         auto answer = wire::parse_peer(body);
         if (!answer.number(leading_key))
             return;
-        known_.clear();
+        leader_counts_.clear();
         for (const auto &[id, counts] : answer.numbers)
-            known_[id] = unpack(counts);
+            leader_counts_[id] = unpack(counts);
     } catch (const wire::malformed_message &error) {
         spdlog::warn("progress: {}", error.what());
     }
--- a/src/control/task_progress.hpp
+++ b/src/control/task_progress.hpp
@@ -13,24 +13,24 @@
 
 class task_progress {
   public:
-    using current_leadership = std::function<std::shared_ptr<leadership>()>;
-    task_progress(net::asio::io_context &io, membership::member &member, current_leadership current)
-        : io_(io), member_(member), current_(std::move(current)) {}
+    using leadership_getter = std::function<std::shared_ptr<leadership>()>;
+    task_progress(net::asio::io_context &io, membership::member &member, leadership_getter current)
+        : io_(io), member_(member), get_leadership_(std::move(current)) {}
     // As far as known. Asks the leader anew, without waiting, if the last answer is old.
-    std::optional<scheduler::progress> of(const std::string &job);
+    std::optional<scheduler::progress> find(const std::string &job);
     // The answer to another controller: every active job's counts, if this controller leads.
-    wire::peer_message answer() const;
+    wire::peer_message make_response() const;
 
   private:
-    net::awaitable<void> ask_leader();
-    void take_answer(const std::string &body);
+    net::awaitable<void> query_leader();
+    void handle_response(const std::string &body);
 
     net::asio::io_context &io_;
     membership::member &member_;
-    current_leadership current_;
-    std::map<std::string, scheduler::progress> known_; // by job, as the leader told
-    bool asking_ = false;
-    std::optional<time_point> asked_at_;
+    leadership_getter get_leadership_;
+    std::map<std::string, scheduler::progress> leader_counts_; // by job, as the leader told
+    bool query_pending_ = false;
+    std::optional<time_point> last_query_at_;
 };
 
 } // namespace spindlecroft::control
--- a/src/membership/election.cpp
+++ b/src/membership/election.cpp
@@ -17,24 +17,24 @@
 election::election(std::string node, std::string incarnation, const std::vector<std::string> &peers,
                    time_point started_at)
     : node_(std::move(node)), incarnation_(std::move(incarnation)),
-      votes_given_(started_at, vote_blackout(peers.size())), authority_(node_, peers.size() + 1) {
+      voter_(started_at, vote_blackout(peers.size())), authority_(node_, peers.size() + 1) {
     for (auto &peer : peers)
-        reports_.try_emplace(peer);
+        peer_statuses_.try_emplace(peer);
 }
 
-bool election::elected() const {
+bool election::is_elected() const {
     return state_ == election_state::leader || state_ == election_state::stepping_down;
 }
 
-bool election::leading(time_point now) const {
-    return elected() && authority_.valid(now);
+bool election::is_leading(time_point now) const {
+    return is_elected() && authority_.is_valid(now);
 }
 
 std::string election::leader_hint(time_point now) const {
-    if (leading(now))
+    if (is_leading(now))
         return node_;
-    if (!elapsed(requesting_leader_at_, c::vote_length, now))
-        return requesting_leader_;
+    if (!elapsed(leader_acknowledged_at_, c::vote_length, now))
+        return acknowledged_leader_;
     return key_holder_ == node_ ? std::string() : key_holder_;
 }
 
@@ -43,63 +43,63 @@
 std::optional<bool> election::on_request(const peer_request &request, time_point now) {
     std::optional<bool> granted;
     if (request.kind == request_kind::release) {
-        votes_given_.release(request.candidacy);
+        voter_.release(request.candidacy);
     } else if (request.kind == request_kind::vote) {
-        granted = votes_given_.grant(request.candidacy, request.vote_length, now);
+        granted = voter_.grant(request.candidacy, request.vote_duration, now);
         if (*granted && request.role == requester_role::leader) {
-            requesting_leader_ = request.from;
-            requesting_leader_at_ = now;
+            acknowledged_leader_ = request.from;
+            leader_acknowledged_at_ = now;
         }
     }
-    if (auto report = reports_.find(request.from); report != reports_.end()) {
-        report->second.heard_at = now;
-        if (request.store_serving)
-            report->second.store_serving = *request.store_serving;
+    if (auto report = peer_statuses_.find(request.from); report != peer_statuses_.end()) {
+        report->second.last_message_at = now;
+        if (request.store_reachable)
+            report->second.store_reachable = *request.store_reachable;
     }
     return granted;
 }
 
-void election::on_answer(const std::string &peer, const vote_answer &answer, time_point now) {
-    auto &report = reports_[peer];
-    report.heard_at = now;
-    report.store_serving = answer.store_serving;
+void election::on_response(const std::string &peer, const vote_response &answer, time_point now) {
+    auto &report = peer_statuses_[peer];
+    report.last_message_at = now;
+    report.store_reachable = answer.store_reachable;
     report.heartbeat_age = answer.heartbeat_age;
 }
 
-void election::on_vote(const std::string &peer, const peer_request &request, time_point sent_at,
-                       time_point now) {
+void election::on_vote_granted(const std::string &peer, const peer_request &request,
+                               time_point sent_at, time_point now) {
     // A vote to an earlier candidacy doesn't count, and none revives a leader that lapsed.
     if (is_current(request, now))
-        authority_.vote_granted(peer, sent_at, request.vote_length);
+        authority_.on_vote_granted(peer, sent_at, request.vote_duration);
 }
 
 bool election::is_current(const peer_request &request, time_point now) const {
     return request.candidacy == candidacy_ &&
-           (request.role == requester_role::candidate || authority_.valid(now));
+           (request.role == requester_role::candidate || authority_.is_valid(now));
 }
 
-bool election::store_served_elsewhere(time_point now) const {
-    for (auto &[name, report] : reports_)
-        if (report.store_serving && !elapsed(report.heard_at, c::peer_report_valid, now))
+bool election::store_reachable_elsewhere(time_point now) const {
+    for (auto &[name, report] : peer_statuses_)
+        if (report.store_reachable && !elapsed(report.last_message_at, c::peer_report_valid, now))
             return true;
     return false;
 }
 
-bool election::isolated_for(seconds length, time_point now) const {
-    for (auto &[name, report] : reports_)
-        if (!elapsed(report.heard_at, length, now))
+bool election::is_isolated_for(seconds length, time_point now) const {
+    for (auto &[name, report] : peer_statuses_)
+        if (!elapsed(report.last_message_at, length, now))
             return false;
-    return !reports_.empty();
+    return !peer_statuses_.empty();
 }
 
 // --- a follower ---
 
 bool election::may_campaign(time_point now) const {
-    return !(now < no_campaign_until_) && !votes_given_.in_blackout(now);
+    return !(now < campaigns_paused_until_) && !voter_.in_blackout(now);
 }
 
-bool election::voted_for_another(time_point now) const {
-    auto holder = votes_given_.holder(now);
+bool election::has_voted_for_another(time_point now) const {
+    auto holder = voter_.holder(now);
     return !holder.empty() && holder != candidacy_;
 }
 
@@ -108,10 +108,10 @@
 bool election::start_campaign(time_point now) {
     authority_.clear();
     candidacy_ = fmt::format("{}#{}", incarnation_, ++campaigns_);
-    if (!votes_given_.grant(candidacy_, c::candidacy, now))
+    if (!voter_.grant(candidacy_, c::candidacy, now))
         return false;
     state_ = election_state::candidate;
-    authority_.vote_granted(node_, now, c::candidacy);
+    authority_.on_vote_granted(node_, now, c::candidacy);
     return true;
 }
 
@@ -120,13 +120,13 @@
     authority_.clear();
 }
 
-void election::win(const acquired_leader_key &key, time_point now) {
+void election::become_leader(const acquired_leader_key &key, time_point now) {
     lease_ = key.lease;
     token_ = key.version;
-    raises_ = 0;
-    authority_.lease_renewed(key.lease_sent_at, c::leader_lease);
-    votes_given_.grant(candidacy_, c::vote_length, now);
-    authority_.vote_granted(node_, now, c::vote_length);
+    token_raises_ = 0;
+    authority_.on_lease_renewed(key.lease_requested_at, c::leader_lease);
+    voter_.grant(candidacy_, c::vote_length, now);
+    authority_.on_vote_granted(node_, now, c::vote_length);
     state_ = election_state::leader;
     token_raise_requested_ = false;
     key_check_requested_ = false;
@@ -136,7 +136,7 @@
 
 // --- a leader ---
 
-bool election::take_renewal_due(time_point now) {
+bool election::take_due_renewal(time_point now) {
     if (now < next_renewal_)
         return false;
     next_renewal_ = now + c::leader_renew;
@@ -144,24 +144,24 @@
 }
 
 void election::renew_own_vote(time_point now) {
-    if (votes_given_.grant(candidacy_, c::vote_length, now))
-        authority_.vote_granted(node_, now, c::vote_length);
+    if (voter_.grant(candidacy_, c::vote_length, now))
+        authority_.on_vote_granted(node_, now, c::vote_length);
 }
 
 void election::on_lease_renewed(time_point sent_at) {
-    authority_.lease_renewed(sent_at, c::leader_lease);
+    authority_.on_lease_renewed(sent_at, c::leader_lease);
 }
 
-bool election::another_is_better_placed(seconds store_silence, time_point now) const {
+bool election::is_better_leader_available(seconds store_silence, time_point now) const {
     bool without_store = store_silence > c::step_down_store_silence;
     bool without_heartbeats =
         last_heartbeat_ && now - *last_heartbeat_ > c::step_down_heartbeat_silence;
-    for (auto &[name, report] : reports_) {
+    for (auto &[name, report] : peer_statuses_) {
         // Guards against an outage without a leader: only a controller that the key-value store
         // answers can be elected, and its report must be fresh, for the store may by now be gone
         // for all.
-        if (!report.heard_at || now - *report.heard_at > c::peer_report_fresh ||
-            !report.store_serving)
+        if (!report.last_message_at || now - *report.last_message_at > c::peer_report_fresh ||
+            !report.store_reachable)
             continue;
         if (without_store)
             return true;
@@ -173,7 +173,7 @@
 }
 
 void election::pause_campaigns(time_point now) {
-    no_campaign_until_ = now + c::step_down_pause;
+    campaigns_paused_until_ = now + c::step_down_pause;
 }
 
 bool election::step_down() {
@@ -183,7 +183,7 @@
     return true;
 }
 
-void election::close_leadership() {
+void election::end_leadership() {
     state_ = election_state::follower;
     authority_.clear();
 }
@@ -212,10 +212,10 @@
 }
 
 bool election::raise_token(std::uint64_t version) {
-    if (version <= token_ || !elected())
+    if (version <= token_ || !is_elected())
         return false;
     token_ = version;
-    ++raises_;
+    ++token_raises_;
     return true;
 }
 
--- a/src/membership/election.hpp
+++ b/src/membership/election.hpp
@@ -25,9 +25,9 @@
 
 // The leader key that a candidate has acquired.
 struct acquired_leader_key {
-    std::uint64_t version = 0; // the fencing token
-    std::uint64_t lease = 0;   // the key is bound to it
-    time_point lease_sent_at;  // when the lease was asked for
+    std::uint64_t version = 0;     // the fencing token
+    std::uint64_t lease = 0;       // the key is bound to it
+    time_point lease_requested_at; // when the lease was asked for
 };
 
 class election {
@@ -38,9 +38,9 @@
 
     [[nodiscard]] election_state state() const { return state_; }
     // Elected and not yet closed, whether or not its authority is still live.
-    [[nodiscard]] bool elected() const;
+    [[nodiscard]] bool is_elected() const;
     // Elected, and votes or lease are live: may act as the leader.
-    [[nodiscard]] bool leading(time_point now) const;
+    [[nodiscard]] bool is_leading(time_point now) const;
     // The fencing token of this leadership, or of the last one.
     [[nodiscard]] std::uint64_t token() const { return token_; }
     // The lease that the leader key is, or was last, bound to.
@@ -56,22 +56,22 @@
     // granted; nothing: no vote was asked for.
     std::optional<bool> on_request(const peer_request &request, time_point now);
     // What an answer says of the other controller's state; its vote is counted apart.
-    void on_answer(const std::string &peer, const vote_answer &answer, time_point now);
+    void on_response(const std::string &peer, const vote_response &answer, time_point now);
     // Counts a vote that was asked for at sent_at, if it still counts.
-    void on_vote(const std::string &peer, const peer_request &request, time_point sent_at,
-                 time_point now);
+    void on_vote_granted(const std::string &peer, const peer_request &request, time_point sent_at,
+                         time_point now);
     // Whether a request of our own still counts: its candidacy is the present one and, if it is a
     // leader's, the leader has not lapsed. Guards against a leader that was suspended and then
     // binds the others' votes to itself.
     [[nodiscard]] bool is_current(const peer_request &request, time_point now) const;
     // The candidacy that this controller's vote is given to; empty: none.
-    [[nodiscard]] std::string vote_holder(time_point now) const { return votes_given_.holder(now); }
+    [[nodiscard]] std::string vote_holder(time_point now) const { return voter_.holder(now); }
     // After a start no vote is given until all that were given before it have ended.
-    [[nodiscard]] bool in_blackout(time_point now) const { return votes_given_.in_blackout(now); }
+    [[nodiscard]] bool in_blackout(time_point now) const { return voter_.in_blackout(now); }
     // Another controller said of late that the key-value store answers it.
-    [[nodiscard]] bool store_served_elsewhere(time_point now) const;
+    [[nodiscard]] bool store_reachable_elsewhere(time_point now) const;
     // No other controller was heard from for so long, though there are others.
-    [[nodiscard]] bool isolated_for(seconds length, time_point now) const;
+    [[nodiscard]] bool is_isolated_for(seconds length, time_point now) const;
 
     // --- a follower ---
 
@@ -79,38 +79,38 @@
     void on_leader_key(const std::string &node) { key_holder_ = node; }
     [[nodiscard]] bool may_campaign(time_point now) const;
     // This controller's vote is given to another's candidacy, which goes first.
-    [[nodiscard]] bool voted_for_another(time_point now) const;
+    [[nodiscard]] bool has_voted_for_another(time_point now) const;
 
     // --- a candidate ---
 
     // Begins a candidacy with this controller's own vote. false: that is given to another.
     [[nodiscard]] bool start_campaign(time_point now);
-    [[nodiscard]] bool has_majority(time_point now) const { return authority_.majority(now); }
+    [[nodiscard]] bool has_majority(time_point now) const { return authority_.has_majority(now); }
     void abandon_campaign();
     // The votes are a majority and the leader key is ours.
-    void win(const acquired_leader_key &key, time_point now);
+    void become_leader(const acquired_leader_key &key, time_point now);
 
     // --- a leader ---
 
     // Votes and lease are due to be renewed. Counts as done.
-    [[nodiscard]] bool take_renewal_due(time_point now);
+    [[nodiscard]] bool take_due_renewal(time_point now);
     [[nodiscard]] time_point next_renewal() const { return next_renewal_; }
     // Extends this controller's own vote to its leadership.
     void renew_own_vote(time_point now);
     void on_lease_renewed(time_point sent_at);
-    void on_lease_ended() { authority_.lease_ended(); }
+    void on_lease_ended() { authority_.on_lease_ended(); }
     // Whether the leader should give way to a controller that is better placed: it is cut off from
     // the key-value store, or from the workers, and another is not.
     // store_silence: since the key-value store last answered this controller.
-    [[nodiscard]] bool another_is_better_placed(seconds store_silence, time_point now) const;
+    [[nodiscard]] bool is_better_leader_available(seconds store_silence, time_point now) const;
     // This controller is no candidate for a while.
     void pause_campaigns(time_point now);
     // Returns false if there is no leadership to give up, or it is being given up already.
     [[nodiscard]] bool step_down();
     // The leadership is closed: a follower again.
-    void close_leadership();
+    void end_leadership();
     // Gives back this controller's own vote to the candidacy or leadership that ended.
-    void release_own_vote() { votes_given_.release(candidacy_); }
+    void release_own_vote() { voter_.release(candidacy_); }
 
     // --- the fencing token ---
 
@@ -123,7 +123,7 @@
     [[nodiscard]] bool start_key_operation();
     void end_key_operation() { key_operation_running_ = false; }
     // Number of the next raise within this leadership.
-    [[nodiscard]] std::uint64_t next_raise() const { return raises_ + 1; }
+    [[nodiscard]] std::uint64_t next_token_raise() const { return token_raises_ + 1; }
     // Our leader key has this version. Returns whether the token rises with it.
     [[nodiscard]] bool raise_token(std::uint64_t version);
 
@@ -136,34 +136,34 @@
 
   private:
     // What another controller said last.
-    struct peer_report {
-        std::optional<time_point> heard_at;
-        bool store_serving = false;
+    struct peer_status {
+        std::optional<time_point> last_message_at;
+        bool store_reachable = false;
         std::optional<seconds> heartbeat_age;
     };
 
     std::string node_;
     std::string incarnation_;
     election_state state_ = election_state::follower;
-    vote_ledger votes_given_;
-    authority authority_;
-    std::map<std::string, peer_report> reports_; // by the peer's name
+    voter voter_;
+    leader_authority authority_;
+    std::map<std::string, peer_status> peer_statuses_; // by the peer's name
 
     std::string candidacy_;
     std::uint64_t campaigns_ = 0;
-    std::optional<time_point> no_campaign_until_;
+    std::optional<time_point> campaigns_paused_until_;
     time_point next_renewal_{};
 
     std::uint64_t token_ = 0;
     std::uint64_t lease_ = 0;
-    std::uint64_t raises_ = 0; // of the token within this leadership
+    std::uint64_t token_raises_ = 0; // of the token within this leadership
     bool token_raise_requested_ = false;
     bool key_check_requested_ = false;
     bool key_operation_running_ = false;
 
-    std::string key_holder_;        // node named by the leader key, as last read
-    std::string requesting_leader_; // node that asked for votes as leader, and got ours
-    std::optional<time_point> requesting_leader_at_;
+    std::string key_holder_;          // node named by the leader key, as last read
+    std::string acknowledged_leader_; // node that asked for votes as leader, and got ours
+    std::optional<time_point> leader_acknowledged_at_;
     std::optional<time_point> last_heartbeat_;
 };
 
--- a/src/membership/leader_key.cpp
+++ b/src/membership/leader_key.cpp
@@ -30,12 +30,12 @@
     co_return state;
 }
 
-awaitable<std::optional<leader_key_change>> leader_key::watch(std::uint64_t since) {
+awaitable<std::optional<leader_key_watch_result>> leader_key::watch(std::uint64_t since) {
     auto watched = co_await store_.watch(store::keys::leader, since, c::watch_hold_ms,
                                          request_priority::leadership);
     if (watched.outcome != store::watch_outcome::changes)
         co_return std::nullopt;
-    co_return leader_key_change{!watched.changes.items.empty(), watched.changes.revision};
+    co_return leader_key_watch_result{!watched.changes.items.empty(), watched.changes.revision};
 }
 
 awaitable<std::optional<std::uint64_t>> leader_key::acquire(std::uint64_t lease,
--- a/src/membership/leader_key.hpp
+++ b/src/membership/leader_key.hpp
@@ -17,9 +17,9 @@
 };
 
 // What a watch of the leader key brought.
-struct leader_key_change {
+struct leader_key_watch_result {
     bool changed = false;
-    std::uint64_t revision = 0; // the store was watched up to this revision
+    std::uint64_t watched_through_revision = 0; // the store was watched up to this revision
 };
 
 // Reads and changes the leader key. Every change is a compare-and-swap on its version.
@@ -32,7 +32,7 @@
     net::awaitable<std::optional<leader_key_state>> read();
     // Returns at the first change after revision `since`, or without one after some seconds.
     // Nothing: the key-value store did not answer as expected.
-    net::awaitable<std::optional<leader_key_change>> watch(std::uint64_t since);
+    net::awaitable<std::optional<leader_key_watch_result>> watch(std::uint64_t since);
     // Creates the key, bound to the lease, if there is none. Returns its version; nothing: the key
     // is not known to be ours. permitted: asked right before the transaction is sent.
     net::awaitable<std::optional<std::uint64_t>> acquire(std::uint64_t lease,
--- a/src/membership/lease_votes.cpp
+++ b/src/membership/lease_votes.cpp
@@ -7,10 +7,9 @@
 
 namespace c = constants;
 
-vote_ledger::vote_ledger(time_point started_at, seconds blackout)
-    : blackout_until_(started_at + blackout) {}
+voter::voter(time_point started_at, seconds blackout) : blackout_until_(started_at + blackout) {}
 
-bool vote_ledger::grant(const std::string &to, seconds length, time_point now) {
+bool voter::grant(const std::string &to, seconds length, time_point now) {
     if (in_blackout(now))
         return false;
     if (now < until_ && holder_ != to)
@@ -20,12 +19,12 @@
     return true;
 }
 
-void vote_ledger::release(const std::string &to) {
+void voter::release(const std::string &to) {
     if (holder_ == to)
         until_.reset();
 }
 
-authority::authority(std::string self, std::size_t controllers)
+leader_authority::leader_authority(std::string self, std::size_t controllers)
     : self_(std::move(self)), controllers_(controllers) {}
 
 // Both clocks may drift, and timers fire late; the votes of others are counted
@@ -34,21 +33,21 @@
     return sent_at + length * (1 - 2 * c::clock_drift) - c::authority_margin;
 }
 
-void authority::vote_granted(const std::string &by, time_point sent_at, seconds length) {
+void leader_authority::on_vote_granted(const std::string &by, time_point sent_at, seconds length) {
     auto &until = votes_[by];
     until = std::max(until, safe_end(sent_at, length));
 }
 
-void authority::lease_renewed(time_point sent_at, seconds length) {
+void leader_authority::on_lease_renewed(time_point sent_at, seconds length) {
     lease_until_ = std::max(lease_until_, std::optional(safe_end(sent_at, length)));
 }
 
-void authority::clear() {
+void leader_authority::clear() {
     votes_.clear();
     lease_until_.reset();
 }
 
-bool authority::majority(time_point now) const {
+bool leader_authority::has_majority(time_point now) const {
     std::size_t live = 0;
     for (auto &[by, until] : votes_)
         if (now < until)
@@ -56,7 +55,7 @@
     return live * 2 > controllers_;
 }
 
-time_point authority::valid_until(time_point now) const {
+time_point leader_authority::valid_until(time_point now) const {
     std::vector<time_point> ends;
     for (auto &[by, until] : votes_)
         ends.push_back(until);
@@ -68,7 +67,7 @@
     return std::max(until, lease_until_.value_or(until));
 }
 
-bool better_served_elsewhere(seconds store_silence, bool store_served_elsewhere, bool isolated) {
+bool should_divert_users(seconds store_silence, bool store_served_elsewhere, bool isolated) {
     return store_silence > c::isolated_after && (store_served_elsewhere || isolated);
 }
 
--- a/src/membership/lease_votes.hpp
+++ b/src/membership/lease_votes.hpp
@@ -14,11 +14,11 @@
 namespace spindlecroft::membership {
 
 // The vote that one controller gives to another's candidacy, or to its own.
-class vote_ledger {
+class voter {
   public:
     // A restarted controller doesn't remember its votes, so it gives none until every earlier one
     // must have ended.
-    vote_ledger(time_point started_at, seconds blackout);
+    voter(time_point started_at, seconds blackout);
     // Votes for `to`, and for nobody else, until now + length. false: the vote is another's.
     bool grant(const std::string &to, seconds length, time_point now);
     // Takes the vote back if it is given to `to`; a late release of another frees nothing.
@@ -36,18 +36,20 @@
 };
 
 // What a leader or candidate knows of its own entitlement.
-class authority {
+class leader_authority {
   public:
-    authority(std::string self, std::size_t controllers);
+    leader_authority(std::string self, std::size_t controllers);
     // Times given are those at which the request was sent, which is never too late.
-    void vote_granted(const std::string &by, time_point sent_at, seconds length);
-    void lease_renewed(time_point sent_at, seconds length);
-    void lease_ended() { lease_until_.reset(); }
+    void on_vote_granted(const std::string &by, time_point sent_at, seconds length);
+    void on_lease_renewed(time_point sent_at, seconds length);
+    void on_lease_ended() { lease_until_.reset(); }
     void clear();
     // Live votes of more than half of the controllers.
-    [[nodiscard]] bool majority(time_point now) const;
-    [[nodiscard]] bool lease_live(time_point now) const { return now < lease_until_; }
-    [[nodiscard]] bool valid(time_point now) const { return lease_live(now) || majority(now); }
+    [[nodiscard]] bool has_majority(time_point now) const;
+    [[nodiscard]] bool has_live_lease(time_point now) const { return now < lease_until_; }
+    [[nodiscard]] bool is_valid(time_point now) const {
+        return has_live_lease(now) || has_majority(now);
+    }
     // Until when it surely stays valid without news.
     [[nodiscard]] time_point valid_until(time_point now) const;
 
@@ -60,7 +62,7 @@
 
 // Whether a node should send users elsewhere: it is without the key-value store while another has
 // it, or hears nobody at all and so can't tell. In an outage for all, everybody stays.
-[[nodiscard]] bool better_served_elsewhere(seconds store_silence, bool store_served_elsewhere,
-                                           bool isolated);
+[[nodiscard]] bool should_divert_users(seconds store_silence, bool store_served_elsewhere,
+                                       bool isolated);
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -26,7 +26,7 @@
       incarnation_(fmt::format("{}#{:08x}", settings.node, random_())),
       election_(settings.node, incarnation_, peer_names(settings), steady_now()),
       leader_key_(store, settings.node, incarnation_),
-      cancels_(incarnation_, c::cancels_kept, c::cancels_per_answer), wake_(io) {
+      cancel_log_(incarnation_, c::cancels_kept, c::cancels_per_answer), state_changed_(io) {
     for (auto &peer : settings.members) {
         auto link = std::make_unique<peer_link>();
         link->name = peer.name;
@@ -35,67 +35,67 @@
     }
 }
 
-net::client *member::peer(const std::string &name) {
+net::client *member::peer_client(const std::string &name) {
     for (auto &link : peers_)
         if (link->name == name)
             return link->client.get();
     return nullptr;
 }
 
-bool member::leading() const {
-    return election_.leading(steady_now());
+bool member::is_leading() const {
+    return election_.is_leading(steady_now());
 }
 
 std::string member::leader_hint() const {
     return election_.leader_hint(steady_now());
 }
 
-bool member::state_served_elsewhere() const {
-    return election_.store_served_elsewhere(steady_now());
+bool member::store_reachable_elsewhere() const {
+    return election_.store_reachable_elsewhere(steady_now());
 }
 
-bool member::isolated_for(seconds length) const {
-    return election_.isolated_for(length, steady_now());
+bool member::is_isolated_for(seconds length) const {
+    return election_.is_isolated_for(length, steady_now());
 }
 
 void member::step_down(const char *reason) {
     if (!election_.step_down())
         return;
     spdlog::warn("giving up leadership: {}", reason);
-    wake_.notify();
+    state_changed_.notify();
 }
 
 void member::request_leader_key_check() {
     election_.request_key_check();
-    wake_.notify();
+    state_changed_.notify();
 }
 
 void member::stop() {
     stopping_ = true;
-    wake_.notify();
+    state_changed_.notify();
 }
 
 awaitable<void> member::run() {
     while (!stopping_) {
-        co_await follow();
+        co_await run_follower();
         if (stopping_)
             co_return;
-        co_await campaign();
-        if (election_.elected())
-            co_await lead();
+        co_await run_campaign();
+        if (election_.is_elected())
+            co_await run_leader();
     }
 }
 
 // --- a follower ---
 
 // Returns when the leader key is free and this controller may campaign.
-awaitable<void> member::follow() {
+awaitable<void> member::run_follower() {
     std::optional<std::uint64_t> known_revision; // the key is there, as read or watched up to here
     while (!stopping_) {
         if (!known_revision) {
             auto key = co_await leader_key_.read();
             if (!key) {
-                co_await wake_.wait_for(c::state_retry);
+                co_await state_changed_.wait_for(c::state_retry);
                 continue;
             }
             election_.on_leader_key(key->node);
@@ -110,9 +110,9 @@
         if (!change || change->changed)
             known_revision.reset();
         else
-            known_revision = std::max(*known_revision, change->revision);
+            known_revision = std::max(*known_revision, change->watched_through_revision);
         if (!change)
-            co_await wake_.wait_for(c::state_retry);
+            co_await state_changed_.wait_for(c::state_retry);
     }
 }
 
@@ -120,12 +120,12 @@
 awaitable<bool> member::wait_before_campaign() {
     auto now = steady_now();
     if (!election_.may_campaign(now)) {
-        co_await wake_.wait_for(c::campaign_retry);
+        co_await state_changed_.wait_for(c::campaign_retry);
         co_return false;
     }
     // Spreads those who saw the same end; who voted for another waits longer.
     uniform_distribution jitter(0, c::candidacy_jitter.count());
-    bool yields = election_.voted_for_another(now);
+    bool yields = election_.has_voted_for_another(now);
     co_await net::sleep_for(yields ? seconds{c::candidacy_yield.count() + jitter(random_)}
                                    : seconds{jitter(random_)});
     co_return true;
@@ -133,7 +133,7 @@
 
 // --- a candidate ---
 
-awaitable<void> member::campaign() {
+awaitable<void> member::run_campaign() {
     if (!co_await gather_votes())
         co_return;
     auto key = co_await acquire_leader_key();
@@ -148,7 +148,7 @@
         release_votes();
         co_return;
     }
-    election_.win(*key, now);
+    election_.become_leader(*key, now);
     store_.leading(true);
     spdlog::info("leading with token {}", election_.token());
     if (on_elected)
@@ -160,10 +160,10 @@
     auto now = steady_now();
     if (!election_.start_campaign(now))
         co_return false;
-    ask_all(requester_role::candidate, c::candidacy);
+    request_votes(requester_role::candidate, c::candidacy);
     auto limit = now + c::peer_timeout;
     while (!election_.has_majority(steady_now()) && steady_now() < limit)
-        co_await wake_.wait_for(std::max(c::least_wait, limit - steady_now()));
+        co_await state_changed_.wait_for(std::max(c::least_wait, limit - steady_now()));
     if (election_.has_majority(steady_now()))
         co_return true;
     abandon_campaign();
@@ -192,33 +192,33 @@
 
 // --- a leader ---
 
-awaitable<void> member::lead() {
+awaitable<void> member::run_leader() {
     // Workers reported to the former leader so far: their silence is counted from here.
     election_.on_heartbeat(steady_now());
     while (!stopping_ && election_.state() == election_state::leader) {
         auto now = steady_now();
-        if (!election_.leading(now)) {
+        if (!election_.is_leading(now)) {
             spdlog::warn("leadership lapsed");
             break;
         }
-        if (!do_leader_duties(now))
+        if (!run_leader_round(now))
             break;
-        co_await wake_.wait_for(std::max(
+        co_await state_changed_.wait_for(std::max(
             c::least_wait, std::min(election_.next_renewal() - steady_now(), c::leader_poll)));
     }
-    close_leadership();
+    end_leadership();
     co_await net::sleep_for(c::follow_pause);
 }
 
 // One round. Requests to others run on their own, so that no one that hangs holds up the rest.
 // Returns false if this controller gives way to another.
-bool member::do_leader_duties(time_point now) {
-    if (election_.take_renewal_due(now)) {
+bool member::run_leader_round(time_point now) {
+    if (election_.take_due_renewal(now)) {
         net::spawn(io_, renew_lease(), "renew");
         election_.renew_own_vote(now);
-        ask_all(requester_role::leader, c::vote_length);
+        request_votes(requester_role::leader, c::vote_length);
     }
-    if (election_.another_is_better_placed(store_.silence(now), now)) {
+    if (election_.is_better_leader_available(store_.silence(now), now)) {
         election_.pause_campaigns(now);
         step_down("another controller is better placed");
         return false;
@@ -230,11 +230,11 @@
     return true;
 }
 
-void member::close_leadership() {
-    election_.close_leadership();
+void member::end_leadership() {
+    election_.end_leadership();
     store_.leading(false);
-    if (on_deposed)
-        on_deposed();
+    if (on_leadership_ended)
+        on_leadership_ended();
     net::spawn(io_, store_.end_lease(election_.lease()), "end lease");
     release_votes();
 }
@@ -247,7 +247,7 @@
     auto lease = election_.lease();
     auto result = co_await store_.renew(lease);
     renewing_lease_ = false;
-    if (!election_.elected() || lease != election_.lease())
+    if (!election_.is_elected() || lease != election_.lease())
         co_return;
     if (result == store::lease_renewal::renewed) {
         election_.on_lease_renewed(sent_at);
@@ -261,12 +261,12 @@
 awaitable<void> member::raise_token() {
     if (!election_.start_key_operation())
         co_return;
-    net::permission permitted = [this] { return leading(); };
-    auto version = co_await leader_key_.raise_token(election_.token(), election_.lease(),
-                                                    election_.next_raise(), std::move(permitted));
+    net::permission permitted = [this] { return is_leading(); };
+    auto version = co_await leader_key_.raise_token(
+        election_.token(), election_.lease(), election_.next_token_raise(), std::move(permitted));
     election_.end_key_operation();
     if (version)
-        take_token(*version);
+        apply_token(*version);
 }
 
 // Guards against a leader that can write nothing any more and keeps leading: a raise without an
@@ -277,20 +277,20 @@
     auto lease = election_.lease();
     auto key = co_await leader_key_.read();
     election_.end_key_operation();
-    if (!key || !election_.elected() || lease != election_.lease())
+    if (!key || !election_.is_elected() || lease != election_.lease())
         co_return;
     if (key->found && key->lease == lease)
-        take_token(key->version);
+        apply_token(key->version);
     else
         step_down("the leader key is not ours any more");
 }
 
-void member::take_token(std::uint64_t version) {
+void member::apply_token(std::uint64_t version) {
     if (!election_.raise_token(version))
         return;
     spdlog::debug("token raised to {}", election_.token());
-    if (on_token)
-        on_token(election_.token());
+    if (on_token_raised)
+        on_token_raised(election_.token());
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/peer_messages.cpp
+++ b/src/membership/peer_messages.cpp
@@ -55,9 +55,9 @@
     return message.numbers.count(key) != 0;
 }
 
-void encode_question(const cancel_question &question, wire::peer_message &out) {
+void encode_question(const cancel_log_request &question, wire::peer_message &out) {
     out.texts[keys::cancels_incarnation] = question.incarnation;
-    out.numbers[keys::cancels_after] = question.after;
+    out.numbers[keys::cancels_after] = question.after_sequence;
     out.numbers[keys::cancels_revision] = question.revision;
 }
 
@@ -66,22 +66,22 @@
     out.texts[keys::role] =
         request.role == requester_role::leader ? values::role_leader : values::role_candidate;
     out.numbers[keys::vote_length_ms] =
-        static_cast<std::uint64_t>(request.vote_length.count() * 1000);
-    if (request.store_serving)
-        out.numbers[keys::store_serving] = *request.store_serving;
+        static_cast<std::uint64_t>(request.vote_duration.count() * 1000);
+    if (request.store_reachable)
+        out.numbers[keys::store_serving] = *request.store_reachable;
     if (request.wants_store_check)
         out.numbers[keys::wants_store_check] = *request.wants_store_check;
     if (request.cancels)
         encode_question(*request.cancels, out);
 }
 
-void encode_cancel_answer(const cancel_answer &answer, wire::peer_message &out) {
+void encode_cancel_answer(const cancel_log_response &answer, wire::peer_message &out) {
     out.texts[keys::cancels_incarnation] = answer.incarnation;
-    out.numbers[keys::cancels_after] = answer.after;
-    out.numbers[keys::cancels_upto] = answer.upto;
-    out.numbers[keys::cancels_newest] = answer.newest;
-    out.numbers[keys::cancels_given_up] = answer.given_up;
-    out.numbers[keys::records_loaded] = answer.loaded;
+    out.numbers[keys::cancels_after] = answer.after_sequence;
+    out.numbers[keys::cancels_upto] = answer.through_sequence;
+    out.numbers[keys::cancels_newest] = answer.newest_sequence;
+    out.numbers[keys::cancels_given_up] = answer.dropped_through_revision;
+    out.numbers[keys::records_loaded] = answer.records_loaded;
     auto read_age = answer.read_age.value_or(seconds::max());
     // Rounded up: a read must never pass for a later one.
     out.numbers[keys::read_age_ms] =
@@ -109,23 +109,23 @@
     request.candidacy = message.text(keys::candidacy);
     if (message.text(keys::role) == values::role_leader)
         request.role = requester_role::leader;
-    request.vote_length = from_milliseconds(message.number(keys::vote_length_ms));
+    request.vote_duration = from_milliseconds(message.number(keys::vote_length_ms));
     if (has_number(message, keys::store_serving))
-        request.store_serving = message.number(keys::store_serving) != 0;
+        request.store_reachable = message.number(keys::store_serving) != 0;
     if (has_number(message, keys::wants_store_check))
         request.wants_store_check = message.number(keys::wants_store_check) != 0;
     if (message.texts.count(keys::cancels_incarnation))
-        request.cancels = cancel_question{message.text(keys::cancels_incarnation),
-                                          message.number(keys::cancels_after),
-                                          message.number(keys::cancels_revision)};
+        request.cancels = cancel_log_request{message.text(keys::cancels_incarnation),
+                                             message.number(keys::cancels_after),
+                                             message.number(keys::cancels_revision)};
     return request;
 }
 
-wire::peer_message encode(const vote_answer &answer) {
+wire::peer_message encode(const vote_response &answer) {
     wire::peer_message out;
     if (answer.granted)
         out.numbers[keys::granted] = *answer.granted;
-    out.numbers[keys::store_serving] = answer.store_serving;
+    out.numbers[keys::store_serving] = answer.store_reachable;
     auto heartbeat_age = answer.heartbeat_age.value_or(seconds::max());
     out.numbers[keys::heartbeat_age_ms] = static_cast<std::uint64_t>(
         std::min(longest_heartbeat_age_ms, heartbeat_age.count() * 1000));
@@ -135,27 +135,27 @@
     return out;
 }
 
-vote_answer decode_vote_answer(const wire::peer_message &message) {
-    vote_answer answer;
+vote_response decode_vote_response(const wire::peer_message &message) {
+    vote_response answer;
     if (has_number(message, keys::granted))
         answer.granted = message.number(keys::granted) != 0;
-    answer.store_serving = message.number(keys::store_serving) != 0;
+    answer.store_reachable = message.number(keys::store_serving) != 0;
     if (has_number(message, keys::heartbeat_age_ms))
         answer.heartbeat_age = from_milliseconds(message.number(keys::heartbeat_age_ms));
     answer.vote_holder = message.text(keys::vote_holder);
     return answer;
 }
 
-cancel_answer decode_cancel_answer(const wire::peer_message &message) {
-    cancel_answer answer;
+cancel_log_response decode_cancel_log_response(const wire::peer_message &message) {
+    cancel_log_response answer;
     answer.incarnation = message.text(keys::cancels_incarnation);
-    answer.after = message.number(keys::cancels_after);
-    answer.upto = message.number(keys::cancels_upto);
-    answer.newest = message.number(keys::cancels_newest);
+    answer.after_sequence = message.number(keys::cancels_after);
+    answer.through_sequence = message.number(keys::cancels_upto);
+    answer.newest_sequence = message.number(keys::cancels_newest);
     // Without this number everything may have been given up.
-    answer.given_up =
+    answer.dropped_through_revision =
         message.number(keys::cancels_given_up, std::numeric_limits<std::uint64_t>::max());
-    answer.loaded = message.number(keys::records_loaded) != 0;
+    answer.records_loaded = message.number(keys::records_loaded) != 0;
     answer.read_age = from_milliseconds(
         message.number(keys::read_age_ms, static_cast<std::uint64_t>(longest_read_age_ms)));
     answer.entries = message.cancels;
--- a/tests/cancel_simulation_test.cpp
+++ b/tests/cancel_simulation_test.cpp
@@ -15,7 +15,7 @@
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using membership::cancel_log;
-using membership::cancel_reader;
+using membership::cancel_log_reader;
 using test::at;
 using test::in_seconds;
 
@@ -43,7 +43,7 @@
         bool up = true, loaded = false, cut = false;
         time_point back_at{}, fresh_at = long_ago, next_read{};
         std::uint64_t revision = 0;
-        cancel_reader reader; // the leader's, of this one
+        cancel_log_reader reader; // the leader's, of this one
         time_point busy_until{}, next_ask{};
     };
 
@@ -93,7 +93,7 @@
             return;
         for (auto &[id, j] : jobs)
             if (j.revision > n.revision) {
-                n.log->note({id, j.revision, {}});
+                n.log->append({id, j.revision, {}});
                 if (i == 0)
                     learn(id);
             }
@@ -122,7 +122,7 @@
         at(now + between(0.01, 0.8), [this, i, id, run] {
             if (!nodes[i].up || nodes[i].run != run)
                 return; // its user was told nothing
-            nodes[i].log->note({id, jobs.at(id).revision, {}});
+            nodes[i].log->append({id, jobs.at(id).revision, {}});
             if (i == 0)
                 learn(id);
             at(now + seconds{0.001}, [this, id] { jobs.at(id).announced_at = now; });
@@ -138,37 +138,37 @@
         n.busy_until = now + constants::peer_timeout;
         if (!n.up || n.cut || real(0, 1) < 0.03)
             return;
-        auto q = n.reader.question(nodes[0].revision);
+        auto q = n.reader.next_request(nodes[0].revision);
         auto sent = now;
         auto age_of_answer = between(0.01, 0.3);
         at(now + between(0.01, 0.25), [this, i, q, sent, age_of_answer] {
             auto &n = nodes[i];
             if (!n.up || n.cut)
                 return;
-            n.log->forget_upto(q.revision);
-            auto a = n.log->answer(q);
-            a.loaded = n.loaded;
+            n.log->drop_through(q.revision);
+            auto a = n.log->respond(q);
+            a.records_loaded = n.loaded;
             a.read_age = now - n.fresh_at;
             if (real(0, 1) < 0.03)
                 return; // the answer is lost
             at(now + age_of_answer, [this, i, q, a, sent] {
                 auto &n = nodes[i];
                 n.busy_until = {};
-                for (auto &e : n.reader.take(q, a, sent)) {
+                for (auto &e : n.reader.on_response(q, a, sent)) {
                     if (!jobs.at(e.job).known)
                         ++by_name;
                     learn(e.job);
-                    nodes[0].log->note(e);
+                    nodes[0].log->append(e);
                 }
             });
         });
     }
 
     time_point known_until() const {
-        std::vector<const cancel_reader *> readers;
+        std::vector<const cancel_log_reader *> readers;
         for (std::size_t i = 1; i < nodes.size(); ++i)
             readers.push_back(&nodes[i].reader);
-        return membership::cancels_known_until(now, nodes[0].fresh_at, readers);
+        return membership::cancels_complete_until(now, nodes[0].fresh_at, readers);
     }
 
     void work(const std::string &id, job &j) {
@@ -181,7 +181,7 @@
         if (now >= j.next_heartbeat) {
             j.next_heartbeat = now + real(0.75, 1.25) * heartbeat_interval;
             if (now >= outbound_partition_until &&
-                membership::may_renew(now, known_until(), lease_duration, cancel_deadline)) {
+                membership::may_renew_lease(now, known_until(), lease_duration, cancel_deadline)) {
                 j.lease_from = now;
                 if (j.known) {
                     j.there = false;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -25,16 +25,16 @@
 TEST(fleet, one_request_asks_for_what_is_sold_out) {
     control::scheduler core(test::small_settings(), test::small_types());
     core.begin(at(0), 5, wall_clock{});
-    core.loaded(at(0));
-    core.on_job("job-1", array_of(1000), 7, at(0));
+    core.finish_loading(at(0));
+    core.on_job_record("job-1", array_of(1000), 7, at(0));
     std::map<std::string, int> asked; // times that an offer was asked for
     int at_first = 0, later = 0;
     for (auto now = at(1); now < at(200); now += seconds{0.5}) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, now);
+            core.on_write_completed(w, true, now);
         std::map<std::string, int> now_asked;
-        for (auto &q : core.take_rentals(now)) {
+        for (auto &q : core.take_rental_requests(now)) {
             ++now_asked[q.type + q.zone + (q.spot ? "spot" : "")];
             core.on_rent_refused(q.request, now);
         }
@@ -57,12 +57,12 @@
         types[1].boot_time = 40s;       // four slots for four times the price
         control::scheduler core(test::small_settings(), types);
         core.begin(at(0), 5, wall_clock{});
-        core.loaded(at(0));
-        core.on_job("job-1", array_of(1), 7, at(0));
+        core.finish_loading(at(0));
+        core.on_job_record("job-1", array_of(1), 7, at(0));
         core.tick(at(3));
         for (auto &w : core.take_writes(at(3)))
-            core.on_written(w, true, at(3));
-        auto rentals = core.take_rentals(at(3));
+            core.on_write_completed(w, true, at(3));
+        auto rentals = core.take_rental_requests(at(3));
         ASSERT_EQ(rentals.size(), 1u);
         EXPECT_EQ(rentals[0].type, slow_boot < 40s ? "small" : "large");
     }
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -134,7 +134,7 @@
     auto conf = test::small_settings();
     test::state_stand_in state(io, conf);
     membership::member member(io, conf, state);
-    member.records = [] { return membership::member::records_view{}; };
+    member.get_records_status = [] { return membership::member::records_status{}; };
     int stood_still = 0;
     std::size_t commits_after = 1;
     state.stand_still = [&] {
@@ -145,9 +145,9 @@
     };
     net::spawn(io, member.run(), "membership");
     auto limit = net::steady_now() + 10s;
-    while (!member.leading() && net::steady_now() < limit)
+    while (!member.is_leading() && net::steady_now() < limit)
         io.run_one_for(50ms);
-    EXPECT_TRUE(member.leading());
+    EXPECT_TRUE(member.is_leading());
     EXPECT_GE(stood_still, 2);
     EXPECT_EQ(commits_after, 0u) << "the first candidacy's transaction was sent";
     member.stop();
--- a/tests/lease_votes_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(promises, a_restarted_voter_promises_nothing_at_first) {
     // It may have promised to a leader a moment before it ended and came back at once.
-    membership::vote_ledger book(at(100.0), 3s);
+    membership::voter book(at(100.0), 3s);
     EXPECT_FALSE(book.grant("x", 3s, at(100.3)));
     EXPECT_FALSE(book.grant("x", 3s, at(102.9)));
     EXPECT_TRUE(book.grant("x", 3s, at(103.1)));
@@ -29,29 +29,29 @@
 }
 
 TEST(promises, either_entitlement_keeps_a_leader) {
-    membership::authority a("n0", 3);
-    EXPECT_FALSE(a.valid(at(0)));
-    a.vote_granted("n0", at(0), 3s);
-    EXPECT_FALSE(a.valid(at(1))) << "one of three is no majority";
-    a.vote_granted("n1", at(0), 3s);
-    EXPECT_TRUE(a.valid(at(1)));
-    EXPECT_FALSE(a.valid(at(3))) << "counted shorter than it was given";
-    a.lease_renewed(at(2), 3s);
-    EXPECT_TRUE(a.valid(at(4.5)));
-    EXPECT_FALSE(a.valid(at(5)));
+    membership::leader_authority a("n0", 3);
+    EXPECT_FALSE(a.is_valid(at(0)));
+    a.on_vote_granted("n0", at(0), 3s);
+    EXPECT_FALSE(a.is_valid(at(1))) << "one of three is no majority";
+    a.on_vote_granted("n1", at(0), 3s);
+    EXPECT_TRUE(a.is_valid(at(1)));
+    EXPECT_FALSE(a.is_valid(at(3))) << "counted shorter than it was given";
+    a.on_lease_renewed(at(2), 3s);
+    EXPECT_TRUE(a.is_valid(at(4.5)));
+    EXPECT_FALSE(a.is_valid(at(5)));
 }
 
 namespace {
 
-using membership::authority;
-using membership::vote_ledger;
+using membership::leader_authority;
+using membership::voter;
 
 // Three controllers, a key-value store with a lease, clocks that drift, lost and late messages,
 // restarts within a moment, outages.
 struct election_simulation {
     struct node {
-        std::unique_ptr<vote_ledger> votes;
-        std::unique_ptr<authority> own;
+        std::unique_ptr<voter> votes;
+        std::unique_ptr<leader_authority> own;
         double clock_rate = 1;
         time_point busy_until{};
         bool leader = false, cut = false, store_refuses = false;
@@ -81,9 +81,9 @@
     }
 
     static void restart(node &n, time_point time) {
-        n.votes = std::make_unique<vote_ledger>(
+        n.votes = std::make_unique<voter>(
             clock(n, time), c::vote_length * (1 + 2 * c::clock_drift) + c::authority_margin);
-        n.own = std::make_unique<authority>("n", 3);
+        n.own = std::make_unique<leader_authority>("n", 3);
         n.leader = false;
     }
 
@@ -112,19 +112,19 @@
         auto &n = nodes[index];
         const auto local = clock(n, now);
         if (n.votes->grant(n.candidacy, length, local))
-            n.own->vote_granted(std::to_string(index), local, length);
+            n.own->on_vote_granted(std::to_string(index), local, length);
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             if (i == index || n.cut || nodes[i].cut || real(0, 1) >= 0.9)
                 continue;
             if (nodes[i].votes->grant(n.candidacy, length, clock(nodes[i], now + between(0, 0.3))))
-                n.own->vote_granted(std::to_string(i), local, length);
+                n.own->on_vote_granted(std::to_string(i), local, length);
         }
     }
 
     void step_leader(std::size_t index, time_point now, bool store_answers) {
         auto &n = nodes[index];
         const auto local = clock(n, now);
-        if (!n.own->valid(local)) {
+        if (!n.own->is_valid(local)) {
             n.leader = false;
             n.own->clear();
             return;
@@ -134,7 +134,7 @@
         gather_votes(index, now, c::vote_length);
         if (store_answers && key == n.candidacy) {
             key_until = now + c::leader_lease;
-            n.own->lease_renewed(local, c::leader_lease);
+            n.own->on_lease_renewed(local, c::leader_lease);
         }
     }
 
@@ -144,10 +144,10 @@
         n.own->clear();
         gather_votes(index, now, c::candidacy);
         auto later = now + between(0, 0.4);
-        if (n.own->majority(clock(n, later))) {
+        if (n.own->has_majority(clock(n, later))) {
             key = n.candidacy;
             key_until = now + c::leader_lease;
-            n.own->lease_renewed(clock(n, now), c::leader_lease);
+            n.own->on_lease_renewed(clock(n, now), c::leader_lease);
             n.leader = true;
             ++elected;
         }
@@ -174,7 +174,7 @@
     std::vector<std::string> valid_leaders(time_point now) const {
         std::vector<std::string> valid;
         for (auto &n : nodes)
-            if (n.leader && n.own->valid(clock(n, now)))
+            if (n.leader && n.own->is_valid(clock(n, now)))
                 valid.push_back(n.candidacy);
         return valid;
     }
@@ -206,19 +206,18 @@
 // A controller that loses the key-value store and the others, but not its workers: as leader it
 // lapses with its lease and votes, and its users are sent elsewhere, where their jobs are known.
 TEST(nodes, on_its_own_it_gives_up_in_time) {
-    membership::authority a("n0", 7);
+    membership::leader_authority a("n0", 7);
     for (auto n : {"n0", "n1", "n2", "n3"})
-        a.vote_granted(n, at(10), c::vote_length);
-    a.lease_renewed(at(10.5), c::leader_lease);
+        a.on_vote_granted(n, at(10), c::vote_length);
+    a.on_lease_renewed(at(10.5), c::leader_lease);
     // From here on nothing is heard; its own vote to itself is no majority.
-    a.vote_granted("n0", at(12), c::vote_length);
-    EXPECT_TRUE(a.valid(at(12.9)));
-    EXPECT_TRUE(a.valid(at(13.2))) << "by its lease alone";
-    EXPECT_FALSE(a.valid(at(13.5)));
-
-    EXPECT_TRUE(membership::better_served_elsewhere(5s, true, false))
-        << "cut from the state service";
-    EXPECT_TRUE(membership::better_served_elsewhere(5s, false, true)) << "cut from all but workers";
-    EXPECT_FALSE(membership::better_served_elsewhere(60s, false, false)) << "an outage for all";
-    EXPECT_FALSE(membership::better_served_elsewhere(1s, false, true)) << "refused by peers alone";
+    a.on_vote_granted("n0", at(12), c::vote_length);
+    EXPECT_TRUE(a.is_valid(at(12.9)));
+    EXPECT_TRUE(a.is_valid(at(13.2))) << "by its lease alone";
+    EXPECT_FALSE(a.is_valid(at(13.5)));
+
+    EXPECT_TRUE(membership::should_divert_users(5s, true, false)) << "cut from the state service";
+    EXPECT_TRUE(membership::should_divert_users(5s, false, true)) << "cut from all but workers";
+    EXPECT_FALSE(membership::should_divert_users(60s, false, false)) << "an outage for all";
+    EXPECT_FALSE(membership::should_divert_users(1s, false, true)) << "refused by peers alone";
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -145,7 +145,7 @@
     }
     ASSERT_GT(wire::encode_done(parts).size(), record_limit(conf));
     core.load_done("4-1", parts);
-    core.loaded(at(0));
+    core.finish_loading(at(0));
     auto r = report_of("i-1", "large", "a");
     r.incarnation = r.sequence = 1;
     for (int n = 0; n < 100; ++n)
@@ -166,7 +166,7 @@
                         EXPECT_TRUE(part.bits.at(7)) << "what was done before is there too";
                         told.insert(part.job);
                     }
-            core.on_written(w, true, now);
+            core.on_write_completed(w, true, now);
         }
     }
     EXPECT_EQ(told.size(), 100u);
@@ -190,8 +190,8 @@
         core.load_job(id, r, static_cast<std::uint64_t>(n), at(0));
     }
     ASSERT_GT(wire::encode_placed(placed).size(), record_limit(conf));
-    core.load_placed("4-1", placed, at(0));
-    core.loaded(at(0));
+    core.load_placements("4-1", placed, at(0));
+    core.finish_loading(at(0));
     std::size_t writes = 0;
     std::uint64_t sequence = 0;
     for (auto now = at(1); now < at(60); now += seconds{0.5}) {
@@ -210,7 +210,7 @@
             EXPECT_LE(w.when.size() + w.ops.size() + 1, 4 * static_cast<std::size_t>(conf.txn_ops));
             for (auto &o : w.ops)
                 EXPECT_LE(o.value.size(), record_limit(conf)) << o.key;
-            core.on_written(w, true, now);
+            core.on_write_completed(w, true, now);
         }
     }
     EXPECT_GT(writes, 20u);
@@ -238,8 +238,8 @@
         hosts.push_back({name(n), "10.0.0.1:1", "small", n % 2 ? "a" : "b", true,
                          machine_state::running, 100s});
     }
-    core.load_placed("5-1", placed, at(0));
-    core.loaded(at(0));
+    core.load_placements("5-1", placed, at(0));
+    core.finish_loading(at(0));
     core.on_machine_list(hosts, at(0.5), at(0.5));
     auto now = at(1);
     std::size_t deleted = 0, started = 0;
@@ -253,9 +253,9 @@
                            (5ull << 20) + static_cast<std::uint64_t>(n), task_state::running,
                            exit_cause::none, false});
         core.on_heartbeat(r, now);
-        for (auto &o : core.commands_for_answer(r.machine, now))
+        for (auto &o : core.commands_for_response(r.machine, now))
             started += o.kind == command_kind::start;
-        core.answered(r.machine, control::scheduler::heartbeat_age::fresh, now);
+        core.on_response_sent(r.machine, control::scheduler::heartbeat_age::fresh, now);
     };
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence, now += 3s) {
         for (int n = 0; n < machines; ++n)
@@ -263,7 +263,7 @@
         core.tick(now);
         deleted += core.take_deletions(now).size();
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, now);
+            core.on_write_completed(w, true, now);
     }
     EXPECT_EQ(core.machines().size(), static_cast<std::size_t>(machines));
     EXPECT_EQ(deleted, 0u);
@@ -273,8 +273,8 @@
     for (int round = 0; round < 20; ++round, now += 2s) {
         core.tick(now);
         for (auto &w : core.take_writes(now))
-            core.on_written(w, true, now);
-        for (auto &q : core.take_rentals(now))
+            core.on_write_completed(w, true, now);
+        for (auto &q : core.take_rental_requests(now))
             rented += q.count;
     }
     EXPECT_GE(rented, machines / 2);
@@ -287,7 +287,7 @@
     conf.txn_ops = 4;
     control::scheduler core(conf, test::small_types());
     core.begin(at(0), 5, wall_clock{});
-    core.loaded(at(0));
+    core.finish_loading(at(0));
     for (int n = 0; n < 60; ++n)
         core.on_heartbeat(report_of(fmt::format("i-{}", n), "small", n % 2 ? "a" : "b"), at(1));
     for (int n = 0; n < 20; ++n) {
@@ -296,7 +296,7 @@
         r.accepted_at = wall_at(1);
         r.spec = test::small_job(id);
         r.spec.tasks = 3;
-        core.on_job(id, r, static_cast<std::uint64_t>(n) + 1, at(1));
+        core.on_job_record(id, r, static_cast<std::uint64_t>(n) + 1, at(1));
     }
     core.tick(at(2));
     std::vector<control::durable_write> placements;
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -30,20 +30,20 @@
     }
     auto bytes = recorded_message("promise_answer");
     auto message = wire::parse_peer(bytes);
-    auto answer = membership::decode_vote_answer(message);
-    answer.cancels = membership::decode_cancel_answer(message);
+    auto answer = membership::decode_vote_response(message);
+    answer.cancels = membership::decode_cancel_log_response(message);
     // The age of the read is rounded up by one more millisecond each time that it is sent.
     answer.cancels->read_age = *answer.cancels->read_age - 1ms;
     EXPECT_EQ(wire::encode_peer(membership::encode(answer)), bytes);
 }
 
 TEST(peer_messages, what_an_answer_leaves_out_is_taken_for_the_worst) {
-    auto answer = membership::decode_vote_answer({});
+    auto answer = membership::decode_vote_response({});
     EXPECT_EQ(answer.granted, std::nullopt);
-    EXPECT_FALSE(answer.store_serving);
+    EXPECT_FALSE(answer.store_reachable);
     EXPECT_EQ(answer.heartbeat_age, std::nullopt);
-    auto cancels = membership::decode_cancel_answer({});
-    EXPECT_FALSE(cancels.loaded);
-    EXPECT_EQ(cancels.given_up, ~std::uint64_t{0});
+    auto cancels = membership::decode_cancel_log_response({});
+    EXPECT_FALSE(cancels.records_loaded);
+    EXPECT_EQ(cancels.dropped_through_revision, ~std::uint64_t{0});
     EXPECT_EQ(cancels.read_age, seconds{1e6});
 }
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -19,7 +19,7 @@
 
     sweep(int machine_count, std::uint32_t tasks) : machines(machine_count) {
         core.begin(at(0), 5, wall_clock{});
-        core.loaded(at(0));
+        core.finish_loading(at(0));
         for (int k = 0; k < machines; ++k)
             report(k, 1);
         wire::job_record r;
@@ -28,7 +28,7 @@
         r.spec.cpus = 0.25;
         r.spec.memory_gb = 0.4;
         r.spec.estimate = 4s;
-        core.on_job("job-1", r, 7, at(1));
+        core.on_job_record("job-1", r, 7, at(1));
     }
     void report(int k, std::uint64_t sequence) {
         auto name = fmt::format("i-{:03}", k);
--- a/tests/simulated_leader.cpp
+++ b/tests/simulated_leader.cpp
@@ -30,7 +30,7 @@
     if (ends_unreadable)
         at(now + between(1, 20), [this] { ends_unreadable = false; });
     load_records();
-    scheduler->loaded(now);
+    scheduler->finish_loading(now);
 }
 
 void simulation::load_records() {
@@ -44,7 +44,7 @@
     for (auto &[key, kept] : kv) {
         auto &value = kept.first;
         if (key[0] == 'p')
-            scheduler->load_placed(key.substr(2), wire::parse_placed(value), now);
+            scheduler->load_placements(key.substr(2), wire::parse_placed(value), now);
         if (key[0] == 'm')
             scheduler->load_rental(key.substr(2), wire::parse_rental_record(value), now);
         if (key == store::keys::suspect_jobs)
@@ -64,15 +64,15 @@
         write_at += 2s;
     for (auto &w : scheduler->take_writes(now))
         at(write_at, [this, leader, w] { apply_write(leader, w); });
-    for (auto &name : scheduler->take_urgent())
+    for (auto &name : scheduler->take_urgent_machines())
         send_command(name);
-    for (auto &request : scheduler->take_rentals(now))
+    for (auto &request : scheduler->take_rental_requests(now))
         at(now + delay(), [this, leader, request] { rent(leader, request); });
     if (auto names = scheduler->take_deletions(now); !names.empty())
         at(now + delay(), [this, leader, names] { delete_machines(leader, names); });
-    if (scheduler->wants_token_raise(now) && now >= outage_until && now >= leader_refused_until) {
+    if (scheduler->needs_token_raise(now) && now >= outage_until && now >= leader_refused_until) {
         leader_token = ++revision;
-        scheduler->on_token(leader_token);
+        scheduler->set_token(leader_token);
     }
 }
 
@@ -94,7 +94,7 @@
     if (leader != scheduler)
         return;
     if (chance(0.2))
-        leader->on_rent_unsure(request.request, now);
+        leader->on_rent_outcome_unknown(request.request, now);
     else
         leader->on_rented(request.request, rentals[request.request], now);
 }
@@ -166,7 +166,7 @@
 }
 
 bool simulation::may_renew() const {
-    return membership::may_renew(now, known_until, conf.lease_duration, conf.cancel_deadline);
+    return membership::may_renew_lease(now, known_until, conf.lease_duration, conf.cancel_deadline);
 }
 
 bool simulation::dependent_may_run() const {
@@ -205,7 +205,7 @@
         }
         if (auto j = jobs.find(id); j != jobs.end() && (!leader_ignores_dependents ||
                                                         j->second.job.spec.predecessors.empty()))
-            leader->on_job(id, j->second.job, j->second.version, now);
+            leader->on_job_record(id, j->second.job, j->second.version, now);
     });
 }
 
--- a/tests/simulated_store.cpp
+++ b/tests/simulated_store.cpp
@@ -66,11 +66,11 @@
                     versions[o.key] = kv.at(o.key).second;
             }
     if (!chance(0.02) || ok)
-        leader->on_written(t.write, ok, now);
+        leader->on_write_completed(t.write, ok, now);
     else
         at(now + 1s, [this, leader, w = t.write] {
             if (leader == scheduler)
-                leader->on_written(w, false, now);
+                leader->on_write_completed(w, false, now);
         });
 }
 
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -142,8 +142,8 @@
             ++copies;
             if (!may_renew())
                 return;
-            leader->commands_for_answer(name, now);
-            leader->answered(name, age, now);
+            leader->commands_for_response(name, now);
+            leader->on_response_sent(name, age, now);
         });
     if (chance(0.02) || now < w.outbound_partition_until)
         return;
@@ -156,11 +156,11 @@
         if (age == control::scheduler::heartbeat_age::dead)
             return;
         bool renew = may_renew();
-        if (!renew && !leader->holds_nothing(r))
+        if (!renew && !leader->has_no_tasks(r))
             return;
-        auto commands = leader->commands_for_answer(name, now, renew);
+        auto commands = leader->commands_for_response(name, now, renew);
         auto token = leader->token();
-        leader->answered(name, age, now);
+        leader->on_response_sent(name, age, now);
         if (chance(0.02) || now < workers.at(name).inbound_partition_until)
             return;
         auto back = now + delay();
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -145,9 +145,9 @@
 
     membership_alone() {
         member.on_elected = [this] { ++elected; };
-        member.on_deposed = [this] { ++deposed; };
-        member.on_token = [this](std::uint64_t t) { told = t; };
-        member.records = [] { return membership::member::records_view{}; };
+        member.on_leadership_ended = [this] { ++deposed; };
+        member.on_token_raised = [this](std::uint64_t t) { told = t; };
+        member.get_records_status = [] { return membership::member::records_status{}; };
         net::spawn(io, member.run(), "membership");
     }
     bool until(const std::function<bool()> &what, seconds time_limit = 10s) {
@@ -162,7 +162,7 @@
 
 TEST(leader_key, a_raise_that_comes_through_late_is_found) {
     membership_alone m;
-    ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
+    ASSERT_TRUE(m.until([&] { return m.member.is_leading(); }));
     auto first = m.member.token();
     m.state.next_commits = {fate::held};
     m.member.request_token_raise();
@@ -174,17 +174,17 @@
     ASSERT_TRUE(m.until([&] { return m.member.token() > first; }, 3s));
     EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
     EXPECT_EQ(m.told, m.member.token());
-    EXPECT_TRUE(m.member.leading());
+    EXPECT_TRUE(m.member.is_leading());
 }
 
 TEST(leader_key, who_finds_another_in_it_gives_way) {
     membership_alone m;
-    ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
+    ASSERT_TRUE(m.until([&] { return m.member.is_leading(); }));
     m.state.leases[99] = true;
     m.state.apply({}, {{"leader", R"({"node":"n1","incarnation":"x","raise":0})", 99}});
     m.member.request_leader_key_check();
     EXPECT_TRUE(m.until([&] { return m.deposed == 1; }, 3s));
-    EXPECT_FALSE(m.member.leading());
+    EXPECT_FALSE(m.member.is_leading());
 }
 
 TEST(leader_key, a_candidacy_without_an_answer_leads_only_with_its_own_key) {
@@ -194,7 +194,7 @@
         m.until([&] { return m.state.commits >= 1; });
         m.until([] { return false; }, 300ms);
         m.state.release_held(); // its lease has ended by then
-        ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
+        ASSERT_TRUE(m.until([&] { return m.member.is_leading(); }));
         EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
         EXPECT_TRUE(m.state.leases[m.state.keys.at("leader").lease]);
     }
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -73,14 +73,14 @@
             say(line);
             writes.push_back(w);
         }
-        for (auto &r : core->take_rentals(now))
+        for (auto &r : core->take_rental_requests(now))
             say(fmt::format("rent {} {} in {} {} as {}", r.count, r.type, r.zone,
                             r.spot ? "spot" : "ordinary", r.request));
         for (auto &n : core->take_deletions(now))
             say("delete " + n);
-        for (auto &name : core->take_urgent())
+        for (auto &name : core->take_urgent_machines())
             say("urgent " + name);
-        if (core->wants_token_raise(now))
+        if (core->needs_token_raise(now))
             say("raise the token");
     }
 
@@ -147,7 +147,7 @@
                 load(key, value, now);
         ends_known = get(f, "ends", "known") == "known";
         tell_ends(now);
-        core->loaded(now);
+        core->finish_loading(now);
         writes.clear();
     }
 
@@ -188,7 +188,7 @@
             r.spec.deadline = length(f, "deadline", "0");
         records[names.at(0)] = r;
         versions[names.at(0)] = ++revision;
-        core->on_job(names.at(0), r, revision, now);
+        core->on_job_record(names.at(0), r, revision, now);
     }
 
     void cancel_in_record(const instruction &given) {
@@ -196,7 +196,7 @@
         records.at(names.at(0)).cancelled = true;
         versions[names.at(0)] = ++revision;
         if (get(given.f, "told", "yes") == "yes")
-            core->on_job(names.at(0), records[names.at(0)], revision, given.now);
+            core->on_job_record(names.at(0), records[names.at(0)], revision, given.now);
     }
 
     void take_heartbeat(const instruction &given) {
@@ -206,8 +206,8 @@
         if (age == control::scheduler::heartbeat_age::dead) {
             say("refused: out of date");
         } else {
-            commands(core->commands_for_answer(names.at(0), now));
-            core->answered(names.at(0), age, now);
+            commands(core->commands_for_response(names.at(0), now));
+            core->on_response_sent(names.at(0), age, now);
         }
     }
 
@@ -234,7 +234,7 @@
                                  std::stoull(get(given.f, "session", "1")));
     }
 
-    void raise_token(const instruction &given) { core->on_token(given.token()); }
+    void raise_token(const instruction &given) { core->set_token(given.token()); }
 
     void finish_writes(const instruction &given) {
         auto list = std::move(writes);
@@ -261,14 +261,14 @@
             } else {
                 say("refused: " + w.ops.front().key);
             }
-            core->on_written(w, ok, given.now);
+            core->on_write_completed(w, ok, given.now);
         }
     }
 
     void read_ends(const instruction &) { ends_known = true; }
 
     void rent_unsure(const instruction &given) {
-        core->on_rent_unsure(given.names.at(0), given.now);
+        core->on_rent_outcome_unknown(given.names.at(0), given.now);
     }
 
     void rent_refused(const instruction &given) {
@@ -355,7 +355,7 @@
         if (key.rfind("d/", 0) == 0)
             core->load_done(key.substr(2), wire::parse_done(value));
         else if (key.rfind("p/", 0) == 0)
-            core->load_placed(key.substr(2), wire::parse_placed(value), now);
+            core->load_placements(key.substr(2), wire::parse_placed(value), now);
         else if (key.rfind("m/", 0) == 0)
             core->load_rental(key.substr(2), wire::parse_rental_record(value), now);
         else if (key == store::keys::suspect_jobs)
