--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -11,7 +11,7 @@
         return;
     auto &added = place->second;
     added.predecessors = predecessors;
-    added.not_done = predecessors.size();
+    added.unfinished_predecessors = predecessors.size();
     bool cancelled = false;
     for (auto &predecessor : predecessors) {
         dependents_[predecessor].insert(job);
@@ -19,17 +19,17 @@
         if (end && end->state == job_state::done)
             count_done(added, *end);
         cancelled = cancelled || (end && end->state == job_state::cancelled) ||
-                    of(predecessor) == standing::cancelled;
+                    status_of(predecessor) == dependency_status::cancelled;
     }
     if (cancelled) {
         changes ignored;
-        cancel_from({job}, ignored);
+        cancel_with_dependents({job}, ignored);
     }
 }
 
 template <class Time>
 void basic_dependency_graph<Time>::count_done(node &dependent, const predecessor_end &end) {
-    --dependent.not_done;
+    --dependent.unfinished_predecessors;
     if (end.at)
         dependent.ready_at = std::max(dependent.ready_at, *end.at);
 }
@@ -59,7 +59,8 @@
 
 // Iterative, since a chain may be of any length.
 template <class Time>
-void basic_dependency_graph<Time>::cancel_from(std::vector<std::string> jobs, changes &out) {
+void basic_dependency_graph<Time>::cancel_with_dependents(std::vector<std::string> jobs,
+                                                          changes &out) {
     while (!jobs.empty()) {
         auto job = std::move(jobs.back());
         jobs.pop_back();
@@ -74,33 +75,34 @@
 }
 
 template <class Time>
-standing_changes basic_dependency_graph<Time>::note_end(const std::string &predecessor,
-                                                        const predecessor_end &end) {
+dependency_changes basic_dependency_graph<Time>::note_end(const std::string &predecessor,
+                                                          const predecessor_end &end) {
     changes out;
     auto waiting = dependents_.find(predecessor);
     if (waiting == dependents_.end() || !ends_.try_emplace(predecessor, end).second)
         return out;
     if (end.state == job_state::cancelled) {
-        cancel_from({waiting->second.begin(), waiting->second.end()}, out);
+        cancel_with_dependents({waiting->second.begin(), waiting->second.end()}, out);
         return out;
     }
     for (auto &job : waiting->second) {
         auto &dependent = nodes_.at(job);
         count_done(dependent, end);
-        if (dependent.not_done == 0 && !dependent.cancelled)
+        if (dependent.unfinished_predecessors == 0 && !dependent.cancelled)
             out.ready.push_back(job);
     }
     return out;
 }
 
 template <class Time>
-standing basic_dependency_graph<Time>::of(const std::string &job) const {
+dependency_status basic_dependency_graph<Time>::status_of(const std::string &job) const {
     auto *found = find(job);
     if (!found)
-        return standing::ready;
+        return dependency_status::ready;
     if (found->cancelled)
-        return standing::cancelled;
-    return found->not_done == 0 ? standing::ready : standing::waiting;
+        return dependency_status::cancelled;
+    return found->unfinished_predecessors == 0 ? dependency_status::ready
+                                               : dependency_status::waiting;
 }
 
 template <class Time>
@@ -126,7 +128,8 @@
 }
 
 template <class Time>
-std::set<std::string> basic_dependency_graph<Time>::unresolved(const active_test &active) const {
+std::set<std::string>
+basic_dependency_graph<Time>::unresolved(const is_active_predicate &active) const {
     std::set<std::string> out;
     for (auto &[predecessor, jobs] : dependents_)
         if (!ends_.count(predecessor) && !active(predecessor))
@@ -137,7 +140,7 @@
 template <class Time>
 std::set<std::string>
 basic_dependency_graph<Time>::unresolved_for(const std::string &job,
-                                             const active_test &active) const {
+                                             const is_active_predicate &active) const {
     std::set<std::string> out, seen{job};
     std::vector<std::string> open{job};
     while (!open.empty()) {
--- a/src/catalog/dependency_graph.hpp
+++ b/src/catalog/dependency_graph.hpp
@@ -24,14 +24,14 @@
     std::optional<Time> at;            // nothing: unknown
 };
 
-enum class standing {
+enum class dependency_status {
     ready,     // every predecessor is known to be done
     waiting,   // for a predecessor that is not known to have ended
     cancelled, // with a predecessor, direct or not
 };
 
 // Jobs whose standing changed.
-struct standing_changes {
+struct dependency_changes {
     std::vector<std::string> ready;     // their last predecessor is done now
     std::vector<std::string> cancelled; // with a predecessor
 };
@@ -41,14 +41,14 @@
 class basic_dependency_graph {
   public:
     using predecessor_end = basic_predecessor_end<Time>;
-    using changes = standing_changes;
+    using changes = dependency_changes;
     // Whether a job has an active record.
-    using active_test = std::function<bool(const std::string &)>;
+    using is_active_predicate = std::function<bool(const std::string &)>;
 
     // A job that is active and has predecessors.
     struct node {
         std::vector<std::string> predecessors;
-        std::size_t not_done = 0; // predecessors that are not known to be done
+        std::size_t unfinished_predecessors = 0; // predecessors that are not known to be done
         bool cancelled = false;
         Time ready_at{}; // the last known end of a predecessor
     };
@@ -64,7 +64,7 @@
     changes note_end(const std::string &predecessor, const predecessor_end &end);
 
     // The standing of a job. One that is not in the graph is ready.
-    [[nodiscard]] standing of(const std::string &job) const;
+    [[nodiscard]] dependency_status status_of(const std::string &job) const;
     // Nothing: the job is not in the graph.
     [[nodiscard]] const node *find(const std::string &job) const;
     [[nodiscard]] const std::map<std::string, node> &nodes() const { return nodes_; }
@@ -73,16 +73,16 @@
     // Nothing: not known to have ended, or nobody waits for it.
     [[nodiscard]] const predecessor_end *end_of(const std::string &predecessor) const;
     // Predecessors of any job that are neither active nor known to have ended.
-    [[nodiscard]] std::set<std::string> unresolved(const active_test &active) const;
+    [[nodiscard]] std::set<std::string> unresolved(const is_active_predicate &active) const;
     // The same, of one job and of those that it needs through others.
     [[nodiscard]] std::set<std::string> unresolved_for(const std::string &job,
-                                                       const active_test &active) const;
+                                                       const is_active_predicate &active) const;
 
   private:
     // A predecessor of the job is done.
     static void count_done(node &dependent, const predecessor_end &end);
     // Marks the jobs and all that need them as cancelled.
-    void cancel_from(std::vector<std::string> jobs, changes &out);
+    void cancel_with_dependents(std::vector<std::string> jobs, changes &out);
     std::map<std::string, node> nodes_;
     std::map<std::string, std::set<std::string>> dependents_; // by predecessor
     std::map<std::string, predecessor_end> ends_;             // of those with dependents
--- a/src/catalog/ended_job_memory.cpp
+++ b/src/catalog/ended_job_memory.cpp
@@ -2,7 +2,7 @@
 
 namespace spindlecroft::catalog {
 
-void ended_job_memory::add(const std::string &job, const wire::ended_record &record) {
+void ended_job_cache::add(const std::string &job, const wire::ended_record &record) {
     if (!records_.emplace(job, record).second)
         return;
     order_.push_back(job);
@@ -12,12 +12,12 @@
     order_.pop_front();
 }
 
-const wire::ended_record *ended_job_memory::find(const std::string &job) const {
+const wire::ended_record *ended_job_cache::find(const std::string &job) const {
     auto found = records_.find(job);
     return found == records_.end() ? nullptr : &found->second;
 }
 
-void absent_job_memory::add(const std::string &job) {
+void absent_job_cache::add(const std::string &job) {
     if (!jobs_.insert(job).second)
         return;
     order_.push_back(job);
@@ -27,7 +27,7 @@
     order_.pop_front();
 }
 
-void absent_job_memory::clear() {
+void absent_job_cache::clear() {
     jobs_.clear();
     order_.clear();
 }
--- a/src/catalog/ended_job_memory.hpp
+++ b/src/catalog/ended_job_memory.hpp
@@ -11,9 +11,9 @@
 namespace spindlecroft::catalog {
 
 // The records of jobs that ended, as many as fit; the ones that came first are dropped first.
-class ended_job_memory {
+class ended_job_cache {
   public:
-    explicit ended_job_memory(std::size_t capacity) : capacity_(capacity) {}
+    explicit ended_job_cache(std::size_t capacity) : capacity_(capacity) {}
     // A record that is there already stays: how a job ended is final.
     void add(const std::string &job, const wire::ended_record &record);
     // Nothing: not at hand. Valid until the next add().
@@ -28,9 +28,9 @@
 // Ids of jobs that nobody has submitted, as many as fit; the oldest are dropped first. Guards
 // against users who ask again and again about such jobs: each question would cost a request at the
 // key-value store.
-class absent_job_memory {
+class absent_job_cache {
   public:
-    explicit absent_job_memory(std::size_t capacity) : capacity_(capacity) {}
+    explicit absent_job_cache(std::size_t capacity) : capacity_(capacity) {}
     void add(const std::string &job);
     // The job was submitted.
     void remove(const std::string &job) { jobs_.erase(job); }
--- a/src/catalog/job.cpp
+++ b/src/catalog/job.cpp
@@ -2,35 +2,35 @@
 
 namespace spindlecroft::catalog {
 
-std::uint32_t job::waiting() const {
-    if (over() || !ready)
+std::uint32_t job::waiting_tasks() const {
+    if (is_closed() || !ready)
         return 0;
-    return static_cast<std::uint32_t>(again.size()) + (spec.tasks - next_fresh);
+    return static_cast<std::uint32_t>(requeued.size()) + (spec.tasks - next_unplaced);
 }
 
-bool job::pop_waiting(std::uint32_t &index) {
-    if (!again.empty()) {
-        index = *again.begin();
-        again.erase(again.begin());
+bool job::pop_waiting_task(std::uint32_t &index) {
+    if (!requeued.empty()) {
+        index = *requeued.begin();
+        requeued.erase(requeued.begin());
         return true;
     }
-    while (next_fresh < spec.tasks) {
-        index = next_fresh++;
-        if (!done[index] && !live.count(index) && !queued.count(index))
+    while (next_unplaced < spec.tasks) {
+        index = next_unplaced++;
+        if (!done[index] && !current_attempts.count(index) && !queued_on.count(index))
             return true;
     }
     return false;
 }
 
-void job::push_back(std::uint32_t index) {
-    if (index >= next_fresh || done[index] || live.count(index))
+void job::requeue_task(std::uint32_t index) {
+    if (index >= next_unplaced || done[index] || current_attempts.count(index))
         return;
-    again.insert(index);
+    requeued.insert(index);
 }
 
-std::uint32_t job::running() const {
+std::uint32_t job::running_tasks() const {
     std::uint32_t count = 0;
-    for (auto &[index, attempt] : live)
+    for (auto &[index, attempt] : current_attempts)
         if (attempt.phase == attempt_phase::running)
             ++count;
     return count;
--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -36,22 +36,22 @@
     std::string machine;
     attempt_phase phase = attempt_phase::committing;
     exit_cause cause = exit_cause::none;
-    seconds estimate{}; // run time expected on this machine
+    seconds expected_run_time{}; // run time expected on this machine
     time_point created_at{};
-    std::optional<time_point> running_since; // when first reported running
-    std::optional<time_point> running_seen;  // when last reported running
+    std::optional<time_point> running_since;     // when first reported running
+    std::optional<time_point> last_seen_running; // when last reported running
     // The heartbeat whose answer carried the start.
     std::uint64_t sent_incarnation = 0, sent_sequence = 0;
-    bool inherited = false;   // from an earlier leader's placement record
-    bool stop_wanted = false; // a stop is to be sent, or was
-    seconds grace{};          // which that stop leaves the task
+    bool inherited = false;      // from an earlier leader's placement record
+    bool stop_requested = false; // a stop is to be sent, or was
+    seconds stop_grace{};        // which that stop leaves the task
     // Presumed on the machine: everything from the first send until proven gone.
     bool possibly_running() const {
         return phase != attempt_phase::committing && phase != attempt_phase::committed &&
                phase != attempt_phase::exited;
     }
     // For how long it was seen running.
-    seconds ran_for(time_point now) const {
+    seconds observed_run_time(time_point now) const {
         return running_since ? now - *running_since : seconds{};
     }
     // Whether the machine's resources are set aside for it.
@@ -60,8 +60,8 @@
 
 // A job that has not ended, or whose end is not durable yet.
 struct job {
-    job_spec spec;             // as in its record, but for the priority: see own_priority
-    std::uint64_t version = 0; // of its record in the key-value store
+    job_spec spec;                     // as in its record, but for the priority: see own_priority
+    std::uint64_t record_revision = 0; // of its record in the key-value store
     time_point accepted_at{};
     // With predecessors: whether all of them are durably done, and since when. A job without is
     // ready from its acceptance on.
@@ -73,43 +73,46 @@
     std::optional<time_point> inherited_first_due, inherited_last_due;
     bool cancelled = false;
     time_point cancelled_at{};
-    bool end_writing = false; // the record of its end is being written
-    bool ended = false;       // and is durable
+    bool end_write_pending = false; // the record of its end is being written
+    bool ended = false;             // and is durable
 
     // Tasks are handed out in the order of their indices, each once; those that have to run again
     // go before the ones that never ran.
-    std::uint32_t next_fresh = 0;                // tasks from here on were never placed
-    std::set<std::uint32_t> again;               // placed before, to be placed again
-    std::map<std::uint32_t, std::string> queued; // in the queue of this machine
-    std::map<std::uint32_t, attempt> live;       // the present attempt of each placed task
+    std::uint32_t next_unplaced = 0;                   // tasks from here on were never placed
+    std::set<std::uint32_t> requeued;                  // placed before, to be placed again
+    std::map<std::uint32_t, std::string> queued_on;    // in the queue of this machine
+    std::map<std::uint32_t, attempt> current_attempts; // the present attempt of each placed task
 
-    std::vector<bool> done;                       // by task: known done (durable or being written)
-    std::vector<bool> done_durable;               // of these, written
-    std::uint32_t done_count = 0;                 // durable
-    std::uint32_t done_seen = 0;                  // reported, perhaps not yet durable
-    std::map<std::uint32_t, std::string> done_in; // which record tells of this part of its tasks
-    time_point write_after{};                     // pause after a conflict
+    std::vector<bool> done;                // by task: known done (durable or being written)
+    std::vector<bool> done_durable;        // of these, written
+    std::uint32_t durable_done_count = 0;  // durable
+    std::uint32_t reported_done_count = 0; // reported, perhaps not yet durable
+    std::map<std::uint32_t, std::string>
+        done_record_of_part;    // which record tells of this part of its tasks
+    time_point next_write_at{}; // pause after a conflict
 
-    std::uint32_t image = 0; // number of its image
+    std::uint32_t image_number = 0; // number of its image
     // It fits its team's guarantee together with the team's earlier jobs: it need not wait for
     // others.
     bool guaranteed = false;
-    seconds took_sum{};         // run times of its done tasks, at the speed of an ordinary machine
-    int took_count = 0;         // tasks in that sum
+    seconds run_time_sum{};     // run times of its done tasks, at the speed of an ordinary machine
+    int run_time_count = 0;     // tasks in that sum
     time_point backoff_until{}; // no task is placed before: tasks failed or were refused
 
     // Nothing of it is placed any more.
-    bool over() const { return cancelled || ended || end_writing; }
+    bool is_closed() const { return cancelled || ended || end_write_pending; }
     // Tasks neither done, queued nor on a machine that may be placed: none before the job is ready.
-    std::uint32_t waiting() const;
+    std::uint32_t waiting_tasks() const;
     // Takes the next task to place. False: there is none.
-    bool pop_waiting(std::uint32_t &index);
+    bool pop_waiting_task(std::uint32_t &index);
     // A task that was handed out is to be placed again, unless it is done or placed already.
-    void push_back(std::uint32_t index);
+    void requeue_task(std::uint32_t index);
     // Tasks that are reported running.
-    std::uint32_t running() const;
+    std::uint32_t running_tasks() const;
     // Replicas, or tasks, that may be in one zone.
-    std::uint32_t zone_cap() const { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
+    std::uint32_t max_tasks_per_zone() const {
+        return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
+    }
 };
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -20,21 +20,21 @@
 } // namespace
 
 job_cache::job_cache(net::asio::io_context &io, store::key_value_client &state)
-    : state_(state), ended_(c::ended_in_memory), absent_(c::absent_in_memory), wake_(io),
-      served_(io) {}
+    : state_(state), ended_(c::ended_in_memory), absent_(c::absent_in_memory), read_requested_(io),
+      read_completed_(io) {}
 
 void job_cache::stop() {
     stopping_ = true;
-    wake_.notify();
-    served_.notify();
+    read_requested_.notify();
+    read_completed_.notify();
 }
 
-const cached_job *job_cache::active(const std::string &id) const {
+const cached_job *job_cache::find_active(const std::string &id) const {
     auto found = active_.find(id);
     return found == active_.end() ? nullptr : &found->second;
 }
 
-std::optional<wire::ended_record> job_cache::ended(const std::string &id) const {
+std::optional<wire::ended_record> job_cache::find_ended(const std::string &id) const {
     if (auto *record = ended_.find(id))
         return *record;
     return std::nullopt;
@@ -44,7 +44,7 @@
     return graph_.unresolved([this](const std::string &id) { return is_active(id); });
 }
 
-void job_cache::take_active(const std::string &id, cached_job job) {
+void job_cache::put_active(const std::string &id, cached_job job) {
     auto &kept = active_[id] = std::move(job);
     if (kept.record.spec.predecessors.empty())
         graph_.remove(id);
@@ -54,7 +54,7 @@
         graph_.note_end(id, {job_state::cancelled, kept.record.cancelled_at});
 }
 
-void job_cache::drop_active(const std::string &id) {
+void job_cache::erase_active(const std::string &id) {
     active_.erase(id);
     graph_.remove(id);
 }
@@ -66,10 +66,10 @@
     for (auto &predecessor : node->predecessors) {
         if (graph_.end_of(predecessor))
             continue;
-        auto *job = active(predecessor);
+        auto *job = find_active(predecessor);
         if (job && job->record.cancelled)
             graph_.note_end(predecessor, {job_state::cancelled, job->record.cancelled_at});
-        else if (auto end = ended(predecessor))
+        else if (auto end = find_ended(predecessor))
             graph_.note_end(predecessor, {end->state, end->at});
     }
 }
@@ -88,7 +88,8 @@
 }
 
 awaitable<bool> job_cache::load() {
-    auto listed = co_await state_.list(keys::active_jobs_prefix, store::request_priority::accept);
+    auto listed =
+        co_await state_.list(keys::active_jobs_prefix, store::request_priority::user_request);
     if (!listed)
         co_return false;
     std::map<std::string, cached_job> jobs;
@@ -100,33 +101,33 @@
             spdlog::error("{}: {}", item.key, error.what());
         }
     }
-    replace_active(std::move(jobs));
+    replace_active_jobs(std::move(jobs));
     revision_ = listed->revision;
     loaded_ = true;
-    reload_ = false;
-    if (on_active)
+    needs_reload_ = false;
+    if (on_active_job)
         for (auto &[id, job] : active_)
-            on_active(id, job);
+            on_active_job(id, job);
     co_return true;
 }
 
-void job_cache::replace_active(std::map<std::string, cached_job> &&jobs) {
+void job_cache::replace_active_jobs(std::map<std::string, cached_job> &&jobs) {
     active_.clear();
     graph_.clear();
     for (auto &[id, job] : jobs)
-        take_active(id, std::move(job));
+        put_active(id, std::move(job));
     for (auto &[id, job] : active_)
         note_known_ends(id);
     absent_.clear(); // changes were missed
 }
 
-void job_cache::take_changes(const store::watch_result &watched) {
+void job_cache::handle_watch_result(const store::watch_result &watched) {
     switch (watched.outcome) {
     case store::watch_outcome::changes:
         apply(watched.changes);
         break;
     case store::watch_outcome::compacted:
-        reload_ = true;
+        needs_reload_ = true;
         break;
     case store::watch_outcome::failed:
         break;
@@ -160,13 +161,13 @@
 void job_cache::apply_active(const std::string &id, const kv_item &item) {
     absent_.remove(id);
     if (item.value.empty()) {
-        drop_active(id);
+        erase_active(id);
         return;
     }
-    take_active(id, {wire::parse_job_record(item.value), item.version});
+    put_active(id, {wire::parse_job_record(item.value), item.version});
     note_known_ends(id);
-    if (on_active)
-        on_active(id, active_.at(id));
+    if (on_active_job)
+        on_active_job(id, active_.at(id));
 }
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job_cache_reads.cpp
+++ b/src/catalog/job_cache_reads.cpp
@@ -22,18 +22,18 @@
 // Changes as they come, without anybody asking.
 awaitable<void> job_cache::run_watch() {
     while (!stopping_) {
-        if (!loaded_ || reload_) {
+        if (!loaded_ || needs_reload_) {
             if (!co_await load())
                 co_await net::sleep_for(c::state_retry);
             continue;
         }
         auto watched = co_await state_.watch(keys::jobs_prefix, revision_, c::watch_hold_ms,
                                              store::request_priority::placement);
-        take_changes(watched);
+        handle_watch_result(watched);
         if (watched.outcome != store::watch_outcome::changes)
             co_await net::sleep_for(c::state_retry);
         else
-            co_await net::sleep_for(prompt_ ? c::watch_gap : c::follower_watch_gap);
+            co_await net::sleep_for(prompt_updates_ ? c::watch_gap : c::follower_watch_gap);
     }
 }
 
@@ -41,42 +41,42 @@
 
 awaitable<void> job_cache::run_reads() {
     while (!stopping_) {
-        if (reads_wanted_ == reads_done_ || !loaded_) {
-            co_await wake_.wait_for(loaded_ ? idle_wait : unloaded_wait);
+        if (newest_read_request_ == newest_served_request_ || !loaded_) {
+            co_await read_requested_.wait_for(loaded_ ? idle_wait : unloaded_wait);
             continue;
         }
-        auto serving = reads_wanted_;
+        auto serving = newest_read_request_;
         auto sent_at = steady_now();
-        auto watched =
-            co_await state_.watch(keys::jobs_prefix, revision_, 0, store::request_priority::accept);
-        take_changes(watched);
+        auto watched = co_await state_.watch(keys::jobs_prefix, revision_, 0,
+                                             store::request_priority::user_request);
+        handle_watch_result(watched);
         if (watched.outcome != store::watch_outcome::changes) {
             co_await net::sleep_for(c::state_retry);
             continue;
         }
         fresh_at_ = sent_at;
-        reads_done_ = serving;
-        served_.notify();
+        newest_served_request_ = serving;
+        read_completed_.notify();
         co_await net::sleep_for(c::fence_gap);
     }
 }
 
-void job_cache::want_read() {
-    if (reads_wanted_ != reads_done_)
+void job_cache::request_read() {
+    if (newest_read_request_ != newest_served_request_)
         return;
-    ++reads_wanted_;
-    wake_.notify();
+    ++newest_read_request_;
+    read_requested_.notify();
 }
 
 awaitable<bool> job_cache::catch_up(seconds time_limit) {
-    auto mine = ++reads_wanted_;
+    auto mine = ++newest_read_request_;
     auto limit = steady_now() + time_limit;
-    wake_.notify();
-    while (!stopping_ && reads_done_ < mine) {
+    read_requested_.notify();
+    while (!stopping_ && newest_served_request_ < mine) {
         auto left = limit - steady_now();
         if (left <= seconds{0})
             co_return false;
-        co_await served_.wait_for(left);
+        co_await read_completed_.wait_for(left);
     }
     // Guards against an answer from before the process stood still.
     co_return !stopping_ && steady_now() <= limit;
@@ -85,23 +85,23 @@
 // --- records of jobs that ended ---
 
 awaitable<ended_lookup> job_cache::read_ended(std::string id) {
-    if (ended_reads_ >= c::ended_reads)
+    if (pending_ended_reads_ >= c::ended_reads)
         co_return ended_lookup{};
-    ++ended_reads_;
-    auto read = co_await state_.get(keys::ended_job(id), store::request_priority::done);
-    --ended_reads_;
-    co_return read ? take_ended(id, *read) : ended_lookup{};
+    ++pending_ended_reads_;
+    auto read = co_await state_.get(keys::ended_job(id), store::request_priority::job_end);
+    --pending_ended_reads_;
+    co_return read ? handle_ended_read(id, *read) : ended_lookup{};
 }
 
-ended_lookup job_cache::take_ended(const std::string &id, const store::key_lookup &read) {
+ended_lookup job_cache::handle_ended_read(const std::string &id, const store::key_lookup &read) {
     if (!read.found) {
         remember_absent(id, read.revision);
-        return {lookup::absent, {}};
+        return {lookup_outcome::absent, {}};
     }
     try {
         auto record = wire::parse_ended(read.item.value);
         remember_ended(id, record);
-        return {lookup::found, record};
+        return {lookup_outcome::found, record};
     } catch (const wire::malformed_message &error) {
         spdlog::error("{}: can't be read: {}", read.item.key, error.what());
         return {};
@@ -116,7 +116,7 @@
             co_return true;
         for (auto &predecessor : missing) {
             auto read = co_await read_ended(predecessor);
-            if (read.outcome != lookup::found)
+            if (read.outcome != lookup_outcome::found)
                 co_return false;
         }
     }
--- a/src/control/cloud_client.cpp
+++ b/src/control/cloud_client.cpp
@@ -17,7 +17,7 @@
 
 net::awaitable<net::reply> cloud_client::call(std::shared_ptr<leadership> by, std::string method,
                                               std::string target, std::string body) {
-    while (!budget_.take(1, store::request_priority::leadership, net::steady_now()))
+    while (!budget_.try_take(1, store::request_priority::leadership, net::steady_now()))
         co_await net::sleep_for(c::budget_poll);
     // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
     // more: it would delete machines that the next one uses.
--- a/src/control/cloud_client.hpp
+++ b/src/control/cloud_client.hpp
@@ -18,7 +18,7 @@
 
   private:
     net::client client_;
-    store::budget budget_;
+    store::token_bucket budget_;
 };
 
 } // namespace spindlecroft::control
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -15,12 +15,12 @@
 
 request_priority priority_of(write_kind kind) {
     switch (kind) {
-    case write_kind::placed:
+    case write_kind::placements:
     case write_kind::rental:
         return request_priority::placement;
     case write_kind::job_end:
-        return request_priority::accept; // users wait for it
-    case write_kind::done:
+        return request_priority::user_request; // users wait for it
+    case write_kind::done_tasks:
     case write_kind::cleanup:
     case write_kind::suspects:
         return request_priority::background;
@@ -66,7 +66,7 @@
     start_cloud_calls(now);
     commands_->send_urgent();
     if (now - with_.jobs.fresh_at() > c::leader_fresh)
-        with_.jobs.want_read();
+        with_.jobs.request_read();
     by_->forget_cancels_upto(with_.jobs.revision());
     if (now > next_summary_)
         log_summary(now);
@@ -74,7 +74,7 @@
 
 void control_loop::submit_writes(time_point now) {
     auto most = static_cast<std::size_t>(with_.settings.txn_ops);
-    auto waiting = by_->endings.waiting();
+    auto waiting = by_->endings.queue_length();
     auto room = waiting < most ? most - waiting : 0;
     for (const auto &write : by_->active_scheduler()->take_writes(now, room))
         submit_write(write);
@@ -82,13 +82,13 @@
 
 void control_loop::submit_write(const durable_write &write) {
     store::write_unit change;
-    change.owned = true;
-    change.conditions = write.when;
+    change.owns_keys = true;
+    change.conditions = write.conditions;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
     change.on_outcome = [by = by_, write](store::write_outcome outcome, std::uint64_t) {
         auto *core = by->scheduler_unless_ended();
-        if (outcome == store::write_outcome::lost || !core)
+        if (outcome == store::write_outcome::unconfirmed || !core)
             return;
         bool committed = outcome == store::write_outcome::committed;
         core->on_written(write, committed, steady_now());
@@ -116,8 +116,8 @@
     next_summary_ = now + c::summary_gap;
     commands_->close_idle(now);
     spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands",
-                 by_->active_scheduler()->summary(), by_->placements.waiting(),
-                 by_->endings.waiting(), by_->heartbeats_received, by_->commands_sent);
+                 by_->active_scheduler()->summary(), by_->placements.queue_length(),
+                 by_->endings.queue_length(), by_->heartbeats_received, by_->commands_sent);
     by_->heartbeats_received = by_->commands_sent = 0;
 }
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -64,9 +64,10 @@
             leadership_->active_scheduler()->on_token(token);
     };
     member_.records = [this] {
-        return membership::member::records_view{jobs_.loaded(), jobs_.revision(), jobs_.fresh_at()};
+        return membership::member::records_view{jobs_.is_loaded(), jobs_.revision(),
+                                                jobs_.fresh_at()};
     };
-    member_.want_read = [this] { jobs_.want_read(); };
+    member_.want_read = [this] { jobs_.request_read(); };
     member_.on_cancels = [this](const std::vector<cancel_notice> &notices) {
         for (const auto &notice : notices)
             apply_cancel(notice);
@@ -74,7 +75,7 @@
 }
 
 void controller::connect_jobs() {
-    jobs_.on_active = [this](const std::string &id, const catalog::cached_job &job) {
+    jobs_.on_active_job = [this](const std::string &id, const catalog::cached_job &job) {
         if (job.record.cancelled)
             member_.note_cancel({id, job.revision, job.record.cancelled_at});
         if (leadership_)
@@ -108,14 +109,14 @@
 void controller::on_elected() {
     on_deposed();
     leadership_ = std::make_shared<leadership>(io_, store_, settings_, member_);
-    jobs_.prompt(true);
+    jobs_.set_prompt_updates(true);
     net::spawn(io_, lead(leadership_), "take over");
 }
 
 void controller::on_deposed() {
     if (!leadership_)
         return;
-    jobs_.prompt(false);
+    jobs_.set_prompt_updates(false);
     leadership_->end();
     leadership_.reset();
 }
@@ -204,11 +205,11 @@
 }
 
 response controller::ready() const {
-    if (!jobs_.loaded() || !types_.get())
+    if (!jobs_.is_loaded() || !types_.get())
         return unsure("starting");
     // Cut from the store while others are not: they serve better. A controller that hears neither
     // it nor any other controller can't tell, and is no better.
-    if (membership::better_served_elsewhere(store_.silence(steady_now()),
+    if (membership::better_served_elsewhere(store_.time_since_last_reply(steady_now()),
                                             member_.state_served_elsewhere(),
                                             member_.isolated_for(c::isolated_after)))
         return unsure("no state service");
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -113,7 +113,7 @@
 }
 
 void failover::load(scheduler &into, time_point now) {
-    for (const auto &[id, job] : jobs_.all())
+    for (const auto &[id, job] : jobs_.active_jobs())
         into.load_job(id, job.record, job.revision, now);
     load_records(into, now);
     tell_predecessor_ends(into, jobs_, now);
@@ -150,9 +150,9 @@
     if (types_revision_ != 0 && !types_unreadable_)
         return;
     store::write_unit change;
-    change.owned = true;
+    change.owns_keys = true;
     change.ops = {{store::keys::machine_types, wire::encode_machine_types(types_), 0}};
-    change.priority = request_priority::accept;
+    change.priority = request_priority::user_request;
     by_->placements.submit(std::move(change));
 }
 
--- a/src/control/job_cancels.cpp
+++ b/src/control/job_cancels.cpp
@@ -27,7 +27,7 @@
 awaitable<response> job_cancels::on_cancel(std::string id) {
     if (!wire::valid_job_id(id))
         co_return error(404, "no such job");
-    if (!jobs_.loaded() || writes_.full())
+    if (!jobs_.is_loaded() || writes_.full())
         co_return unsure("starting");
     auto limit = steady_now() + c::user_request;
     while (steady_now() < limit - c::cancel_round) {
@@ -38,7 +38,7 @@
             co_return error(404, "no such job");
         if (is_final(found.status.state))
             co_return accepted(id, found.status.state);
-        const auto *active = jobs_.active(id);
+        const auto *active = jobs_.find_active(id);
         if (!active)
             continue;
         auto time_limit = std::max(c::commit_least, limit - steady_now());
--- a/src/control/job_queries.cpp
+++ b/src/control/job_queries.cpp
@@ -26,19 +26,19 @@
 // connection, so every question on it would fail while other nodes answer.
 response job_queries::store_unavailable() const {
     auto answer = unsure("the state service does not answer");
-    answer.close = store_.silence(steady_now()) > c::state_timeout;
+    answer.close = store_.time_since_last_reply(steady_now()) > c::state_timeout;
     return answer;
 }
 
 awaitable<job_lookup> job_queries::find(std::string id) {
     // What has ended stays as it ended: no read is needed.
-    if (auto ended = jobs_.ended(id))
+    if (auto ended = jobs_.find_ended(id))
         co_return ended_status(id, *ended);
     if (!co_await jobs_.catch_up(c::shared_read))
         co_return job_lookup{};
     if (!co_await jobs_.resolve_predecessors(id))
         co_return job_lookup{};
-    if (const auto *active = jobs_.active(id))
+    if (const auto *active = jobs_.find_active(id))
         co_return active_status(id, *active);
     co_return co_await find_ended(id);
 }
@@ -47,7 +47,8 @@
     job_lookup found{lookup::known, {}};
     auto &status = found.status;
     status.id = id;
-    bool with_predecessor = jobs_.dependencies().of(id) == catalog::standing::cancelled;
+    bool with_predecessor =
+        jobs_.dependencies().status_of(id) == catalog::dependency_status::cancelled;
     if (job.record.cancelled || with_predecessor) {
         status.state = job_state::cancelled;
         return found;
@@ -62,18 +63,18 @@
 
 // The job is not active as of the shared read.
 awaitable<job_lookup> job_queries::find_ended(std::string id) {
-    if (auto ended = jobs_.ended(id))
+    if (auto ended = jobs_.find_ended(id))
         co_return ended_status(id, *ended);
-    if (jobs_.known_absent(id))
+    if (jobs_.is_known_absent(id))
         co_return job_lookup{lookup::never_existed, {}};
     auto read = co_await jobs_.read_ended(id);
-    if (read.outcome == catalog::lookup::unavailable)
+    if (read.outcome == catalog::lookup_outcome::unavailable)
         co_return job_lookup{};
-    if (read.outcome == catalog::lookup::found)
+    if (read.outcome == catalog::lookup_outcome::found)
         co_return ended_status(id, read.record);
     // Neither active at the shared read nor ended after it: never accepted then. Unless the watch
     // has it by now.
-    if (jobs_.active(id))
+    if (jobs_.find_active(id))
         co_return job_lookup{};
     co_return job_lookup{lookup::never_existed, {}};
 }
@@ -81,7 +82,7 @@
 awaitable<response> job_queries::on_poll(std::string id) {
     if (!wire::valid_job_id(id))
         co_return error(404, "no such job");
-    if (!jobs_.loaded())
+    if (!jobs_.is_loaded())
         co_return unsure("starting");
     auto found = co_await find(id);
     switch (found.how) {
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -45,7 +45,7 @@
 }
 
 bool job_submissions::known(const std::string &id) const {
-    return jobs_.active(id) || jobs_.ended(id);
+    return jobs_.find_active(id) || jobs_.find_ended(id);
 }
 
 // What is at hand of a predecessor was true at some time, which is enough: that it was accepted,
@@ -55,9 +55,9 @@
 awaitable<job_submissions::predecessor> job_submissions::check_predecessor(std::string id) {
     using standing = predecessor::standing;
     std::optional<job_state> state;
-    if (auto ended = jobs_.ended(id)) {
+    if (auto ended = jobs_.find_ended(id)) {
         state = ended->state;
-    } else if (!jobs_.active(id)) {
+    } else if (!jobs_.find_active(id)) {
         auto found = co_await queries_.find(id);
         if (found.how == lookup::unavailable)
             co_return predecessor{standing::unavailable, ""};
@@ -66,7 +66,7 @@
                                   fmt::format("awaits: {} was never accepted", id)};
         state = found.status.state;
     }
-    if (const auto *active = jobs_.active(id))
+    if (const auto *active = jobs_.find_active(id))
         co_return check_active(id, *active);
     if (state == job_state::cancelled)
         co_return predecessor{standing::cancelled, ""};
@@ -78,7 +78,8 @@
     using standing = predecessor::standing;
     if (job.record.spec.shape == job_shape::service)
         return {standing::impossible, fmt::format("awaits: {} runs until it is cancelled", id)};
-    bool with_predecessor = jobs_.dependencies().of(id) == catalog::standing::cancelled;
+    bool with_predecessor =
+        jobs_.dependencies().status_of(id) == catalog::dependency_status::cancelled;
     bool cancelled = job.record.cancelled || with_predecessor;
     return {cancelled ? standing::cancelled : standing::pending, ""};
 }
@@ -119,7 +120,7 @@
     } catch (const wire::malformed_message &malformed) {
         co_return error(400, malformed.what());
     }
-    if (!jobs_.loaded() || !types_.get() || writes_.full())
+    if (!jobs_.is_loaded() || !types_.get() || writes_.full())
         co_return unsure("not yet able to decide");
     auto reason = rejection(spec);
     wire::job_record record;
@@ -159,7 +160,7 @@
 awaitable<response> job_submissions::accept(wire::job_record record, std::string value) {
     auto id = record.spec.id;
     store::write_unit change;
-    change.priority = store::request_priority::accept;
+    change.priority = store::request_priority::user_request;
     change.conditions = {{store::keys::active_job(id), 0}, {store::keys::ended_job(id), 0}};
     change.ops = {{store::keys::active_job(id), std::move(value), 0}};
     auto outcome = co_await writes_.commit(std::move(change), c::user_request - c::cancel_round);
--- a/src/control/known_types.cpp
+++ b/src/control/known_types.cpp
@@ -13,7 +13,7 @@
 net::awaitable<void> known_types::load() {
     while (!stopping_ && !types_) {
         auto stored =
-            co_await store_.get(store::keys::machine_types, store::request_priority::accept);
+            co_await store_.get(store::keys::machine_types, store::request_priority::user_request);
         if (stored && stored->found) {
             try {
                 learn(wire::parse_machine_types(stored->item.value));
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -13,7 +13,7 @@
                 return std::nullopt;
             return txn_condition{store::keys::leader, member_.token()};
         };
-        writer->fence_failed = [this] { member_.request_leader_key_check(); };
+        writer->on_fence_failed = [this] { member_.request_leader_key_check(); };
     }
 }
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -110,13 +110,13 @@
 void scheduler::on_written(const durable_write &write, bool committed, time_point now) {
     state_.request_planning();
     switch (write.kind) {
-    case write_kind::placed:
+    case write_kind::placements:
         placements_.on_written(write, committed, now);
         break;
     case write_kind::suspects:
         suspect_record_.on_written(write, committed);
         break;
-    case write_kind::done:
+    case write_kind::done_tasks:
         done_records_.on_written(write, committed, now);
         break;
     case write_kind::job_end:
@@ -177,7 +177,7 @@
     const auto *job = state_.find_job(id);
     if (!job)
         return {};
-    return progress{job->done_count, job->running()};
+    return progress{job->durable_done_count, job->running_tasks()};
 }
 
 std::string scheduler::summary() const {
@@ -190,8 +190,8 @@
         attempts += machine.attempts.size();
     }
     for (const auto &[id, job] : state_.jobs()) {
-        waiting += job.waiting();
-        running += job.running();
+        waiting += job.waiting_tasks();
+        running += job.running_tasks();
     }
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
                        "{} queued {} waiting, {} stopped to make room",
--- a/src/control/scheduler.hpp
+++ b/src/control/scheduler.hpp
@@ -207,7 +207,7 @@
     records::record_cleanup cleanup_;
     planning::round_planner planner_;
     dependencies::chain_inheritance inheritance_{settings_, state_, planner_.quota().teams()};
-    fleet::fleet_manager fleet_{settings_, state_, records::most_record_bytes(settings_)};
+    fleet::fleet_manager fleet_{settings_, state_, records::max_record_bytes(settings_)};
     reconciliation::failure_review failure_review_{state_};
     reconciliation::heartbeat_reconciler heartbeats_;
     reconciliation::command_composer commands_{state_};
--- a/src/control/task_progress.cpp
+++ b/src/control/task_progress.cpp
@@ -43,7 +43,7 @@
         return out;
     out.numbers[leading_key] = 1;
     for (const auto &[id, job] : leading->active_scheduler()->jobs())
-        out.numbers[id] = pack(job.done_count, job.running());
+        out.numbers[id] = pack(job.durable_done_count, job.running_tasks());
     return out;
 }
 
--- a/src/control/user_writes.cpp
+++ b/src/control/user_writes.cpp
@@ -28,7 +28,7 @@
         pending->arrived.notify();
     };
     auto limit = steady_now() + time_limit;
-    change.give_up_at = limit; // its user is told 503 then, and asks again
+    change.deadline = limit; // its user is told 503 then, and asks again
     committer_.submit(std::move(change));
     while (!pending->outcome && steady_now() < limit)
         co_await pending->arrived.wait_for(limit - steady_now());
--- a/src/control/user_writes.hpp
+++ b/src/control/user_writes.hpp
@@ -14,7 +14,7 @@
     net::awaitable<void> run() { return committer_.run(); }
     void stop() { committer_.stop(); }
     // So many changes wait that no more are taken.
-    [[nodiscard]] bool full() const { return committer_.full(); }
+    [[nodiscard]] bool full() const { return committer_.is_full(); }
     // Nothing: no outcome within the time. The change is not sent any more from then on, but a copy
     // that was sent may yet be executed; its `on_durable` is called if it was.
     net::awaitable<std::optional<store::write_outcome>> commit(store::write_unit change,
--- a/src/dependencies/chain_inheritance.cpp
+++ b/src/dependencies/chain_inheritance.cpp
@@ -26,7 +26,7 @@
 
 std::optional<fairness::chain_member> chain_inheritance::member_of(const std::string &id) const {
     const auto *job = state_.find_job(id);
-    if (!job || job->over())
+    if (!job || job->is_closed())
         return {};
     fairness::chain_member member;
     member.priority = job->own_priority;
@@ -53,7 +53,7 @@
 // As many waves as its team's limit makes of its tasks.
 double chain_inheritance::waves(const catalog::job &job) const {
     const auto &spec = job.spec;
-    double tasks = spec.tasks - job.done_seen;
+    double tasks = spec.tasks - job.reported_done_count;
     double count = 1;
     const auto *team = teams_.find(spec.team);
     if (!team)
@@ -83,7 +83,7 @@
     if (priority == job->spec.priority)
         return;
     job->spec.priority = priority;
-    for (const auto &[index, attempt] : job->live)
+    for (const auto &[index, attempt] : job->current_attempts)
         if (auto *machine = state_.find_machine(attempt.machine))
             machine->touch(); // which room its tasks leave to others depends on the priority
 }
--- a/src/dependencies/dependency_tracker.cpp
+++ b/src/dependencies/dependency_tracker.cpp
@@ -17,8 +17,8 @@
 
 std::vector<std::uint32_t> live_indices(const catalog::job &job) {
     std::vector<std::uint32_t> indices;
-    indices.reserve(job.live.size());
-    for (const auto &[index, attempt] : job.live)
+    indices.reserve(job.current_attempts.size());
+    for (const auto &[index, attempt] : job.current_attempts)
         indices.push_back(index);
     return indices;
 }
@@ -37,10 +37,10 @@
     for (const auto &predecessor : added.spec.predecessors)
         if (auto *known = state_.find_job(predecessor); known && known->cancelled)
             graph_.note_end(predecessor, {job_state::cancelled, now});
-    auto standing = graph_.of(id);
-    added.ready = standing == catalog::standing::ready;
+    auto standing = graph_.status_of(id);
+    added.ready = standing == catalog::dependency_status::ready;
     added.ready_at = now;
-    if (standing == catalog::standing::cancelled)
+    if (standing == catalog::dependency_status::cancelled)
         cancel(added, std::nullopt, now);
 }
 
@@ -72,10 +72,10 @@
 }
 
 void dependency_tracker::withdraw_tasks(catalog::job &cancelled) {
-    while (!cancelled.queued.empty())
-        state_.remove_from_queue(cancelled, cancelled.queued.begin()->first);
+    while (!cancelled.queued_on.empty())
+        state_.remove_from_queue(cancelled, cancelled.queued_on.begin()->first);
     for (auto index : live_indices(cancelled)) {
-        auto &attempt = cancelled.live[index];
+        auto &attempt = cancelled.current_attempts[index];
         if (needs_no_stop(attempt))
             state_.release_attempt(cancelled, index, false);
         else
--- a/src/fleet/array_demand.cpp
+++ b/src/fleet/array_demand.cpp
@@ -31,15 +31,16 @@
 unfinished_work unfinished_work_of(const catalog::job &job, const model::cluster_state &state,
                                    time_point now) {
     unfinished_work left;
-    left.tasks = job.waiting() + static_cast<double>(job.queued.size());
+    left.tasks = job.waiting_tasks() + static_cast<double>(job.queued_on.size());
     if (state.failures().is_suspect(job.spec.id))
         left.tasks = std::min(left.tasks, 1.0); // no room is rented for what fails anyway
     left.work = left.tasks * state.expected_run_time(job);
-    for (const auto &[index, attempt] : job.live) {
+    for (const auto &[index, attempt] : job.current_attempts) {
         if (!attempt.holds_resources())
             continue;
-        seconds ran = attempt.ran_for(now);
-        left.work += std::max(least_remaining_share * attempt.estimate, attempt.estimate - ran);
+        seconds ran = attempt.observed_run_time(now);
+        left.work += std::max(least_remaining_share * attempt.expected_run_time,
+                              attempt.expected_run_time - ran);
         ++left.tasks;
     }
     return left;
@@ -52,7 +53,8 @@
         : settings_(settings) {
         for (const auto &[id, job] : state.jobs())
             if (job.spec.shape == job_shape::service)
-                cpus_[job.spec.team] += job.spec.cpus * static_cast<double>(job.live.size());
+                cpus_[job.spec.team] +=
+                    job.spec.cpus * static_cast<double>(job.current_attempts.size());
     }
     // How many of the tasks the team may run; they count as in use from then on.
     double admit(const job_spec &spec, double tasks) {
@@ -77,7 +79,7 @@
     std::map<std::string, array_demand> kinds;
     team_limits limits(state, settings);
     for (const auto &[id, job] : state.jobs()) {
-        if (job.spec.shape != job_shape::array || job.over() || now < job.backoff_until)
+        if (job.spec.shape != job_shape::array || job.is_closed() || now < job.backoff_until)
             continue;
         auto left = unfinished_work_of(job, state, now);
         if (left.tasks == 0)
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -72,7 +72,8 @@
 
 void scale_out::plan_replicas(planned_machines &planned, time_point now) {
     for (const auto &[id, job] : state_.jobs())
-        if (job.spec.shape == job_shape::service && job.waiting() > 0 && now >= job.backoff_until)
+        if (job.spec.shape == job_shape::service && job.waiting_tasks() > 0 &&
+            now >= job.backoff_until)
             plan_replicas_of(job, planned, now);
 }
 
@@ -82,9 +83,9 @@
         if (const auto *machine = state_.find_machine(name))
             ++counts[machine->zone];
     };
-    for (const auto &[index, attempt] : job.live)
+    for (const auto &[index, attempt] : job.current_attempts)
         count_on(attempt.machine);
-    for (const auto &[index, name] : job.queued)
+    for (const auto &[index, name] : job.queued_on)
         count_on(name);
     return counts;
 }
@@ -94,7 +95,7 @@
     std::set<std::string> zones;
     for (const auto &type : state_.types())
         for (const auto &zone : type.zones)
-            if (!job.spec.spread || replicas[zone] < job.zone_cap())
+            if (!job.spec.spread || replicas[zone] < job.max_tasks_per_zone())
                 zones.insert(zone);
     return zones;
 }
@@ -104,10 +105,10 @@
     const auto &spec = job.spec;
     auto replicas = replicas_by_zone(job);
     // A suspect job is retried one task at a time.
-    auto waiting = state_.failures().is_suspect(spec.id) ? 1 : job.waiting();
+    auto waiting = state_.failures().is_suspect(spec.id) ? 1 : job.waiting_tasks();
     for (std::uint32_t planned_replicas = 0; planned_replicas < waiting; ++planned_replicas) {
         auto room = std::find_if(planned.begin(), planned.end(), [&](const bidder &machine) {
-            bool zone_is_full = spec.spread && replicas[machine.zone] >= job.zone_cap();
+            bool zone_is_full = spec.spread && replicas[machine.zone] >= job.max_tasks_per_zone();
             return !zone_is_full && has_room_for_replica(machine, spec);
         });
         if (room != planned.end()) {
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -144,12 +144,12 @@
     auto now = steady_now();
     if (key->version == 0 || !election_.has_majority(now)) {
         election_.abandon_campaign();
-        net::spawn(io_, store_.end_lease(key->lease), "end lease");
+        net::spawn(io_, store_.revoke_lease(key->lease), "end lease");
         release_votes();
         co_return;
     }
     election_.win(*key, now);
-    store_.leading(true);
+    store_.set_leading(true);
     spdlog::info("leading with token {}", election_.token());
     if (on_elected)
         on_elected();
@@ -175,7 +175,7 @@
 // Returns nothing if there is no lease to bind the key to; version 0: the key is not ours.
 awaitable<std::optional<acquired_leader_key>> member::acquire_leader_key() {
     auto lease_sent_at = steady_now();
-    auto lease = co_await store_.new_lease(c::leader_lease);
+    auto lease = co_await store_.create_lease(c::leader_lease);
     if (!lease) {
         abandon_campaign();
         co_return std::nullopt;
@@ -218,7 +218,7 @@
         election_.renew_own_vote(now);
         ask_all(requester_role::leader, c::vote_length);
     }
-    if (election_.another_is_better_placed(store_.silence(now), now)) {
+    if (election_.another_is_better_placed(store_.time_since_last_reply(now), now)) {
         election_.pause_campaigns(now);
         step_down("another controller is better placed");
         return false;
@@ -232,10 +232,10 @@
 
 void member::close_leadership() {
     election_.close_leadership();
-    store_.leading(false);
+    store_.set_leading(false);
     if (on_deposed)
         on_deposed();
-    net::spawn(io_, store_.end_lease(election_.lease()), "end lease");
+    net::spawn(io_, store_.revoke_lease(election_.lease()), "end lease");
     release_votes();
 }
 
@@ -245,7 +245,7 @@
     renewing_lease_ = true;
     auto sent_at = steady_now();
     auto lease = election_.lease();
-    auto result = co_await store_.renew(lease);
+    auto result = co_await store_.renew_lease(lease);
     renewing_lease_ = false;
     if (!election_.elected() || lease != election_.lease())
         co_return;
--- a/src/membership/member_messages.cpp
+++ b/src/membership/member_messages.cpp
@@ -32,7 +32,7 @@
     // this controller must know by the next request whether the key-value store answers it.
     if (request.wants_store_check.value_or(false) && now - records().fresh_at > c::leader_renew)
         want_read();
-    answer.store_serving = store_.serving(now);
+    answer.store_serving = store_.is_available(now);
     answer.heartbeat_age = election_.heartbeat_age(now);
     if (request.cancels)
         answer.cancels = answer_cancels(*request.cancels, now);
@@ -90,9 +90,9 @@
     request.candidacy = election_.candidacy();
     request.role = role;
     request.vote_length = vote_length;
-    request.store_serving = store_.serving(now);
+    request.store_serving = store_.is_available(now);
     if (role == requester_role::leader) {
-        request.wants_store_check = !store_.serving(now) || election_.lacks_heartbeats(now);
+        request.wants_store_check = !store_.is_available(now) || election_.lacks_heartbeats(now);
         request.cancels = link.cancels.question(records().revision);
     }
     return request;
--- a/src/model/cluster_state.cpp
+++ b/src/model/cluster_state.cpp
@@ -51,16 +51,16 @@
     auto *owner = find_job(task.job);
     if (!owner)
         return nullptr;
-    auto found = owner->live.find(task.index);
-    return found == owner->live.end() ? nullptr : &found->second;
+    auto found = owner->current_attempts.find(task.index);
+    return found == owner->current_attempts.end() ? nullptr : &found->second;
 }
 
 const cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task) const {
     const auto *owner = find_job(task.job);
     if (!owner)
         return nullptr;
-    auto found = owner->live.find(task.index);
-    return found == owner->live.end() ? nullptr : &found->second;
+    auto found = owner->current_attempts.find(task.index);
+    return found == owner->current_attempts.end() ? nullptr : &found->second;
 }
 
 cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task,
@@ -78,7 +78,7 @@
 // --- jobs ---
 
 cluster_state::job &cluster_state::add_job(const std::string &id, job added) {
-    added.image = image_number(added.spec.image);
+    added.image_number = image_number(added.spec.image);
     return jobs_[id] = std::move(added);
 }
 
@@ -91,7 +91,7 @@
 
 seconds cluster_state::expected_run_time(const job &owner) const {
     seconds prior = estimates_.expected_run_time(owner.spec);
-    return (prior + owner.took_sum) / (1 + owner.took_count);
+    return (prior + owner.run_time_sum) / (1 + owner.run_time_count);
 }
 
 std::uint32_t cluster_state::image_number(const std::string &image) {
@@ -194,31 +194,31 @@
         host->attempts.insert(added.task);
         host->touch();
     }
-    return owner.live[index] = std::move(added);
+    return owner.current_attempts[index] = std::move(added);
 }
 
 void cluster_state::release_attempt(job &owner, std::uint32_t index, bool to_waiting) {
-    auto found = owner.live.find(index);
-    if (found == owner.live.end())
+    auto found = owner.current_attempts.find(index);
+    if (found == owner.current_attempts.end())
         return;
     auto &released = found->second;
-    if (to_waiting && !owner.over())
+    if (to_waiting && !owner.is_closed())
         spdlog::debug("{}/{} is no longer on {}", owner.spec.id, index, released.machine);
     if (auto *host = find_machine(released.machine)) {
         host->attempts.erase(released.task);
         host->touch();
     }
-    owner.live.erase(found);
+    owner.current_attempts.erase(found);
     if (to_waiting)
-        owner.push_back(index);
+        owner.requeue_task(index);
     request_planning();
 }
 
 void cluster_state::request_stop(attempt &which, seconds grace) {
-    if (which.stop_wanted && grace >= which.grace)
+    if (which.stop_requested && grace >= which.stop_grace)
         return;
-    which.stop_wanted = true;
-    which.grace = grace;
+    which.stop_requested = true;
+    which.stop_grace = grace;
     mark_urgent(which.machine);
 }
 
@@ -244,8 +244,8 @@
         auto *owner = find_job(queued.task.job);
         if (!owner)
             continue;
-        owner->queued.erase(queued.task.index);
-        owner->push_back(queued.task.index);
+        owner->queued_on.erase(queued.task.index);
+        owner->requeue_task(queued.task.index);
     }
     host.queue.clear();
     host.touch();
@@ -253,15 +253,15 @@
 }
 
 void cluster_state::remove_from_queue(job &owner, std::uint32_t index) {
-    auto found = owner.queued.find(index);
-    if (found == owner.queued.end())
+    auto found = owner.queued_on.find(index);
+    if (found == owner.queued_on.end())
         return;
     if (auto *host = find_machine(found->second)) {
         catalog::task_ref task{owner.spec.id, index};
         std::erase_if(host->queue, [&](const auto &queued) { return queued.task == task; });
         host->touch();
     }
-    owner.queued.erase(found);
+    owner.queued_on.erase(found);
 }
 
 // --- what is to be done next ---
--- a/src/model/cluster_state.hpp
+++ b/src/model/cluster_state.hpp
@@ -162,8 +162,8 @@
         auto *owner = find_job(task.job);
         if (!owner)
             continue;
-        auto found = owner->live.find(task.index);
-        if (found != owner->live.end())
+        auto found = owner->current_attempts.find(task.index);
+        if (found != owner->current_attempts.end())
             visit(*owner, found->second);
     }
 }
--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -73,8 +73,8 @@
 
 void bid_round::task_queued(bidder &winner, const catalog::job &job, seconds estimate) {
     winner.hold(job.spec, estimate);
-    if (winner.fetch(job.image))
-        fetching_[job.image].push_back(&winner);
+    if (winner.fetch(job.image_number))
+        fetching_[job.image_number].push_back(&winner);
     ++winner.version;
 }
 
@@ -91,7 +91,7 @@
     auto offer =
         bidding::make_bid(machine.m->speed, machine.type->fetch_gb_per_s, spec, machine.free,
                           machine.whole, preempting ? seconds{} : machine.work, machine.boot_time,
-                          asked.expected, machine.has_image(job.image), machine.fetches);
+                          asked.expected, machine.has_image(job.image_number), machine.fetches);
     if (queue_too_long(machine, offer.queue_time))
         return {};
     round_bid bid{&machine, offer.finish_time(), preempting ? seconds{} : offer.queue_time,
@@ -118,7 +118,7 @@
 std::optional<round_bid> bid_round::ask_kept(const request &asked) {
     auto &bids = bids_kept_for(asked);
     auto &heap = bids.heap;
-    const auto &fetching = fetching_[asked.job.image];
+    const auto &fetching = fetching_[asked.job.image_number];
     for (; bids.fetching_seen < fetching.size(); ++bids.fetching_seen)
         push_bid(heap, asked, *fetching[bids.fetching_seen]);
     // Apart from those, bids only rise within a round: an outdated one is worked out anew when it
@@ -143,7 +143,7 @@
         if (auto bid = bid_of(asked, *machine))
             bids.heap.push_back(*bid);
     std::make_heap(bids.heap.begin(), bids.heap.end());
-    bids.fetching_seen = fetching_[asked.job.image].size();
+    bids.fetching_seen = fetching_[asked.job.image_number].size();
     return bids;
 }
 
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -93,10 +93,10 @@
         if (!held.holds_resources())
             return;
         // Past its estimate: as much again as a fifth of it, rather than nothing.
-        entry.hold(job.spec, std::max(held.estimate - held.ran_for(now),
-                                      overdue_estimate_share * held.estimate));
+        entry.hold(job.spec, std::max(held.expected_run_time - held.observed_run_time(now),
+                                      overdue_estimate_share * held.expected_run_time));
         if (held.phase != attempt_phase::running && held.phase != attempt_phase::checkpointing)
-            entry.fetch(job.image);
+            entry.fetch(job.image_number);
     });
 }
 
@@ -106,7 +106,7 @@
         if (!job)
             continue;
         entry.hold(job->spec, queued.estimate);
-        entry.fetch(job->image);
+        entry.fetch(job->image_number);
     }
 }
 
--- a/src/planning/placement_rules.cpp
+++ b/src/planning/placement_rules.cpp
@@ -32,10 +32,10 @@
     zone_count zones;
     if (!job.spec.spread && !job.spec.same_zone)
         return zones;
-    for (const auto &[index, attempt] : job.live)
+    for (const auto &[index, attempt] : job.current_attempts)
         if (attempt.phase != catalog::attempt_phase::exited)
             zones.add(state, attempt.machine);
-    for (const auto &[index, machine_name] : job.queued)
+    for (const auto &[index, machine_name] : job.queued_on)
         zones.add(state, machine_name);
     return zones;
 }
@@ -49,7 +49,7 @@
     auto known = zones.in(zone);
     if (job.spec.same_zone && known != zones.all)
         return false;
-    return !job.spec.spread || known + zones.unknown < job.zone_cap();
+    return !job.spec.spread || known + zones.unknown < job.max_tasks_per_zone();
 }
 
 } // namespace
@@ -69,12 +69,13 @@
 }
 
 bool may_place(const model::cluster_state &state, const catalog::job &job, time_point now) {
-    if (job.waiting() == 0 || now < job.backoff_until)
+    if (job.waiting_tasks() == 0 || now < job.backoff_until)
         return false;
     const auto &failures = state.failures();
     if (!failures.is_suspect(job.spec.id))
         return true;
-    return now >= failures.retry_at(job.spec.id) && job.queued.empty() && job.live.empty();
+    return now >= failures.retry_at(job.spec.id) && job.queued_on.empty() &&
+           job.current_attempts.empty();
 }
 
 } // namespace spindlecroft::planning
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -61,11 +61,11 @@
     auto *other = state_.find_job(which.task.job);
     if (!other || other->spec.team == spec.team)
         return nullptr;
-    auto found = other->live.find(which.task.index);
-    if (found == other->live.end())
+    auto found = other->current_attempts.find(which.task.index);
+    if (found == other->current_attempts.end())
         return nullptr;
     auto &attempt = found->second;
-    if (!attempt.possibly_running() || attempt.stop_wanted)
+    if (!attempt.possibly_running() || attempt.stop_requested)
         return nullptr;
     const auto &held = other->spec;
     if (held.cpus < spec.cpus || held.gpus < spec.gpus || held.memory_gb < spec.memory_gb)
@@ -104,7 +104,7 @@
             break;
         const auto &job = *state_.find_job(attempt->task.job);
         if (priority != priority_class::critical &&
-            (job.spec.priority != priority_class::low || job.live.size() <= 1))
+            (job.spec.priority != priority_class::low || job.current_attempts.size() <= 1))
             continue; // the last task of a job stays: it would not begin anew for long
         free.give(job.spec);
         chosen.push_back(attempt);
@@ -121,7 +121,7 @@
     // to stop, in the same message if need be.
     if (!at_once)
         return false;
-    std::erase_if(load.stoppable, [](const auto *attempt) { return attempt->stop_wanted; });
+    std::erase_if(load.stoppable, [](const auto *attempt) { return attempt->stop_requested; });
     load.free = free;
     return true;
 }
--- a/src/planning/queue_starter.cpp
+++ b/src/planning/queue_starter.cpp
@@ -17,7 +17,7 @@
     while (!machine.queue.empty()) {
         const auto &next = machine.queue.front();
         auto *job = state_.find_job(next.task.job);
-        if (!job || job->over()) {
+        if (!job || job->is_closed()) {
             machine.queue.pop_front();
             continue;
         }
@@ -36,7 +36,7 @@
         if (!held.holds_resources())
             return;
         load.free.take(job.spec);
-        if (held.stop_wanted)
+        if (held.stop_requested)
             load.stopping = true;
         else if (job.spec.priority > priority_class::critical && held.possibly_running())
             load.stoppable.push_back(&held);
@@ -48,13 +48,13 @@
     auto queued = machine.queue.front();
     machine.queue.pop_front();
     machine.touch();
-    job.queued.erase(queued.task.index);
+    job.queued_on.erase(queued.task.index);
     catalog::attempt created;
     created.task = queued.task;
     created.number = state_.next_attempt_number();
     created.machine = machine.name;
     created.created_at = now;
-    created.estimate = queued.estimate;
+    created.expected_run_time = queued.estimate;
     machine.idle_since = now;
     state_.add_attempt(job, std::move(created));
     on_created_(queued.task, job.spec.shape);
--- a/src/planning/quota_accounting.cpp
+++ b/src/planning/quota_accounting.cpp
@@ -20,12 +20,12 @@
     teams_.clear_usage();
     stopping_cpus_.clear();
     for (const auto &[id, job] : state_.jobs()) {
-        int held = static_cast<int>(job.queued.size());
-        for (const auto &[index, attempt] : job.live) {
+        int held = static_cast<int>(job.queued_on.size());
+        for (const auto &[index, attempt] : job.current_attempts) {
             if (!attempt.holds_resources())
                 continue;
             ++held;
-            if (attempt.stop_wanted)
+            if (attempt.stop_requested)
                 task_stopping(job.spec);
         }
         if (held > 0)
@@ -45,7 +45,7 @@
         return;
     std::vector<catalog::job *> by_age;
     for (auto &[id, job] : state_.jobs())
-        if (!job.over() && job.ready && !state_.failures().is_suspect(id))
+        if (!job.is_closed() && job.ready && !state_.failures().is_suspect(id))
             by_age.push_back(&job);
     std::sort(by_age.begin(), by_age.end(),
               [](const auto *left, const auto *right) { return left->ready_at < right->ready_at; });
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -76,7 +76,7 @@
         auto &job = *turn.job;
         bool placed = quota_.teams().within_limit(job.spec) && may_place(state_, job, now) &&
                       place_one(job, round, now);
-        if (!placed || job.waiting() == 0 || --turn.most == 0)
+        if (!placed || job.waiting_tasks() == 0 || --turn.most == 0)
             turns.pop_back();
         if (turns.empty())
             teams.erase(team);
@@ -115,13 +115,13 @@
 
 // The task goes into the winner's queue, and the next bid in the same round sees it there.
 bool round_planner::place_one(catalog::job &job, bid_round &round, time_point now) {
-    if (job.waiting() == 0)
+    if (job.waiting_tasks() == 0)
         return false;
     auto where = choose_machine(job, round, now);
     if (!where)
         return false;
     std::uint32_t index = 0;
-    if (!job.pop_waiting(index))
+    if (!job.pop_waiting_task(index))
         return false;
     auto &winner = *where->machine;
     seconds estimate = state_.expected_run_time(job) / std::max(winner.m->speed, c::speed_floor);
@@ -157,7 +157,7 @@
         });
     machine.queue.insert(position, workers::queued_task{{spec.id, index}, spec.priority, estimate});
     machine.startable = true;
-    job.queued[index] = machine.name;
+    job.queued_on[index] = machine.name;
 }
 
 } // namespace spindlecroft::planning
--- a/src/planning/service_order.cpp
+++ b/src/planning/service_order.cpp
@@ -72,12 +72,12 @@
     fairness::waiting_job waiting;
     waiting.due_in = due_times_of(settings, job, expected, now);
     waiting.waited = now - job.ready_at;
-    waiting.begun = job.done_seen > 0 || !job.live.empty();
+    waiting.begun = job.reported_done_count > 0 || !job.current_attempts.empty();
     waiting.longest = expected;
     // Those done, but not yet durably, hold nothing.
-    waiting.held =
-        static_cast<double>(job.live.size()) - static_cast<double>(job.done_seen - job.done_count);
-    waiting.work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
+    waiting.held = static_cast<double>(job.current_attempts.size()) -
+                   static_cast<double>(job.reported_done_count - job.durable_done_count);
+    waiting.work = expected * (job.waiting_tasks() + static_cast<double>(job.queued_on.size()) +
                                running_task_left * waiting.held);
     return waiting;
 }
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -62,10 +62,10 @@
         if (given.kind != command_kind::start)
             return true;
         const auto *job = state_.find_job(given.job);
-        if (!job || job->over())
+        if (!job || job->is_closed())
             return false;
         const auto *attempt = state_.find_attempt({given.job, given.index}, given.attempt);
-        return attempt && !attempt->stop_wanted;
+        return attempt && !attempt->stop_requested;
     });
 }
 
@@ -138,22 +138,22 @@
     case attempt_phase::exited:
         break;
     case attempt_phase::committed:
-        if (!attempt.stop_wanted)
+        if (!attempt.stop_requested)
             add_start(composed, job, attempt);
         break;
     case attempt_phase::sent:
-        if (attempt.stop_wanted)
+        if (attempt.stop_requested)
             add_stop(seconds{});
         else
             add_start(composed, job, attempt);
         break;
     case attempt_phase::fetching:
     case attempt_phase::running:
-        if (attempt.stop_wanted)
-            add_stop(attempt.grace);
+        if (attempt.stop_requested)
+            add_stop(attempt.stop_grace);
         break;
     case attempt_phase::checkpointing:
-        if (attempt.stop_wanted && attempt.grace <= seconds{})
+        if (attempt.stop_requested && attempt.stop_grace <= seconds{})
             add_stop(seconds{});
         break;
     }
@@ -162,7 +162,7 @@
 void command_composer::add_start(composition &composed, const catalog::job &job,
                                  catalog::attempt &attempt) const {
     const auto &machine = composed.machine;
-    if (attempt.inherited || !machine.usable() || job.over() ||
+    if (attempt.inherited || !machine.usable() || job.is_closed() ||
         composed.permission == start_permission::withheld)
         return;
     if (attempt.phase == attempt_phase::committed) {
@@ -181,7 +181,7 @@
 bidding::room command_composer::room_after_stops(workers::machine &machine) const {
     bidding::room room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
-        bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
+        bool stops_now = attempt.stop_requested && attempt.stop_grace <= seconds{};
         if (attempt.possibly_running() && !stops_now)
             room.take(job.spec);
     });
--- a/src/reconciliation/failure_review.cpp
+++ b/src/reconciliation/failure_review.cpp
@@ -13,15 +13,15 @@
 
 void failure_review::attempt_failed(workers::machine &machine, catalog::job &job,
                                     const catalog::attempt &attempt, time_point now) {
-    workers::failure_ledger::failure failure{job.spec.id, machine.name, attempt.ran_for(now),
-                                             is_working(job)};
+    workers::failure_ledger::failure failure{job.spec.id, machine.name,
+                                             attempt.observed_run_time(now), is_working(job)};
     bool became_suspect = state_.failures().attempt_failed(failure, now);
     if (became_suspect) {
         spdlog::info("{}: fails wherever it runs, retried one task at a time", job.spec.id);
-        while (!job.queued.empty()) {
-            auto index = job.queued.begin()->first;
+        while (!job.queued_on.empty()) {
+            auto index = job.queued_on.begin()->first;
             state_.remove_from_queue(job, index);
-            job.push_back(index);
+            job.requeue_task(index);
         }
     }
     machine.probation_until = state_.failures().probation_until(machine.name);
@@ -38,7 +38,7 @@
 void failure_review::review() {
     for (const auto &id : state_.failures().unproven_jobs()) {
         const auto *job = state_.find_job(id);
-        if (!job || job->over())
+        if (!job || job->is_closed())
             state_.failures().forget_job(id);
         else if (is_working(*job))
             state_.failures().job_ran(id);
@@ -51,19 +51,22 @@
 bool failure_review::may_retry(const catalog::job &job, time_point now) const {
     if (!state_.failures().is_suspect(job.spec.id))
         return true;
-    return now >= state_.failures().retry_at(job.spec.id) && job.queued.empty() && job.live.empty();
+    return now >= state_.failures().retry_at(job.spec.id) && job.queued_on.empty() &&
+           job.current_attempts.empty();
 }
 
 bool failure_review::is_working(const catalog::job &job) const {
-    if (job.done_seen > 0)
+    if (job.reported_done_count > 0)
         return true;
     seconds proof = state_.failures().proof_duration(job.spec.id);
     // Between the first and the last report of it: without heartbeats nobody knows whether it still
     // runs.
-    return std::any_of(job.live.begin(), job.live.end(), [&](const auto &entry) {
-        const auto &attempt = entry.second;
-        return attempt.running_since && *attempt.running_seen - *attempt.running_since > proof;
-    });
+    return std::any_of(job.current_attempts.begin(), job.current_attempts.end(),
+                       [&](const auto &entry) {
+                           const auto &attempt = entry.second;
+                           return attempt.running_since &&
+                                  *attempt.last_seen_running - *attempt.running_since > proof;
+                       });
 }
 
 void failure_review::quarantine_faulty() {
--- a/src/reconciliation/heartbeat_reconciler.cpp
+++ b/src/reconciliation/heartbeat_reconciler.cpp
@@ -128,8 +128,8 @@
     state_.withdraw_unstarted(machine);
     // What can't finish or save in time starts again elsewhere at once.
     state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
-        seconds ran = attempt.ran_for(now);
-        seconds left = std::max(seconds{}, attempt.estimate - ran);
+        seconds ran = attempt.observed_run_time(now);
+        seconds left = std::max(seconds{}, attempt.expected_run_time - ran);
         if (attempt.possibly_running() && job.spec.shape == job_shape::array &&
             left > notice * constants::reclaim_notice_tolerance)
             state_.request_stop(attempt, std::min(notice, job.spec.checkpoint_duration));
--- a/src/reconciliation/lease_monitor.cpp
+++ b/src/reconciliation/lease_monitor.cpp
@@ -22,9 +22,9 @@
 
 void lease_monitor::enforce_cancellations(time_point now) {
     for (const auto &[id, job] : state_.jobs()) {
-        if (!job.cancelled || job.live.empty())
+        if (!job.cancelled || job.current_attempts.empty())
             continue;
-        for (const auto &[index, attempt] : job.live)
+        for (const auto &[index, attempt] : job.current_attempts)
             enforce_cancellation(job, attempt, now);
     }
 }
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -34,14 +34,14 @@
 }
 
 bool is_new_result(const catalog::job *job, const task_status &status) {
-    return status.cause == exit_cause::done && job && !job->over() &&
+    return status.cause == exit_cause::done && job && !job->is_closed() &&
            status.index < job->spec.tasks && job->spec.shape == job_shape::array &&
            !job->done[status.index];
 }
 
 bool awaits_durability(const catalog::job *job, const task_status &status) {
     return status.cause == exit_cause::done && job && status.index < job->spec.tasks &&
-           !job->over() && job->done[status.index] && !job->done_durable[status.index];
+           !job->is_closed() && job->done[status.index] && !job->done_durable[status.index];
 }
 
 } // namespace
@@ -93,7 +93,7 @@
                                         const task_status &status, time_point now) {
     if (status.state == task_state::exited)
         reconcile_unknown_exit(machine, job, status, now);
-    else if (job && status.index < job->spec.tasks && !job->live.contains(status.index))
+    else if (job && status.index < job->spec.tasks && !job->current_attempts.contains(status.index))
         adopt(machine, *job, status, now);
     else
         machine.cleanup_commands.push_back(cleanup_command(command_kind::stop, status));
@@ -129,7 +129,7 @@
     }
     state_.failures().machine_ran(machine.name, attempt.created_at);
     attempt.phase = attempt_phase::running;
-    attempt.running_seen = now;
+    attempt.last_seen_running = now;
     machine.use_image(job.spec.image, job.spec.image_gb, now);
 }
 
@@ -142,7 +142,7 @@
     bool result = false; // the worker keeps it until it is durable
     switch (status.cause) {
     case exit_cause::done:
-        result = job.spec.shape == job_shape::array && !job.over();
+        result = job.spec.shape == job_shape::array && !job.is_closed();
         attempt_completed(machine, job, attempt, now);
         break;
     case exit_cause::error:
@@ -171,8 +171,8 @@
                                         const catalog::attempt &attempt, time_point now) {
     state_.failures().machine_ran(machine.name, attempt.created_at);
     machine.use_image(job.spec.image, job.spec.image_gb, now);
-    if (job.spec.shape == job_shape::array && !job.over()) {
-        seconds ran = attempt.ran_for(now);
+    if (job.spec.shape == job_shape::array && !job.is_closed()) {
+        seconds ran = attempt.observed_run_time(now);
         if (ran > seconds{})
             measure_run_time(machine, job, ran);
         task_done(job, attempt.task.index, now);
@@ -183,24 +183,24 @@
 void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job, seconds ran) {
     seconds normal = ran * std::max(machine.speed, constants::speed_floor);
     // Compared with the job's other tasks, since estimates err a job at a time.
-    if (job.took_count >= speed_reference_tasks) {
-        seconds mean = job.took_sum / job.took_count;
+    if (job.run_time_count >= speed_reference_tasks) {
+        seconds mean = job.run_time_sum / job.run_time_count;
         double sample = std::clamp(mean / ran, least_speed_sample, most_speed_sample);
         machine.speed =
             (1 - constants::speed_gain) * machine.speed + constants::speed_gain * sample;
         ++machine.speed_samples;
     }
-    job.took_sum += normal;
-    ++job.took_count;
+    job.run_time_sum += normal;
+    ++job.run_time_count;
     state_.estimates().measured(job.spec.job_class, job.spec.estimate, normal);
 }
 
 void task_reconciler::task_done(catalog::job &job, std::uint32_t index, time_point now) {
-    if (job.over() || job.done[index])
+    if (job.is_closed() || job.done[index])
         return;
     take_from_waiting(job, index);
     job.done[index] = true;
-    ++job.done_seen;
+    ++job.reported_done_count;
     on_done_(job, index, now);
 }
 
@@ -214,7 +214,7 @@
     adopted.phase = phase_of(status.state);
     adopted.created_at = now;
     adopted.running_since = now;
-    adopted.estimate = state_.expected_run_time(job);
+    adopted.expected_run_time = state_.expected_run_time(job);
     auto &kept = state_.add_attempt(job, std::move(adopted));
     state_.request_stop(kept, seconds{});
     spdlog::info("{}: adopted {}/{} attempt {}", machine.name, status.job, status.index,
@@ -223,13 +223,13 @@
 
 void task_reconciler::take_from_waiting(catalog::job &job, std::uint32_t index) {
     state_.remove_from_queue(job, index);
-    job.again.erase(index);
+    job.requeued.erase(index);
     // Tasks before it that were never placed stay waiting.
-    for (; job.next_fresh <= index; ++job.next_fresh) {
-        auto passed = job.next_fresh;
-        if (passed != index && !job.done[passed] && !job.live.contains(passed) &&
-            !job.queued.contains(passed))
-            job.again.insert(passed);
+    for (; job.next_unplaced <= index; ++job.next_unplaced) {
+        auto passed = job.next_unplaced;
+        if (passed != index && !job.done[passed] && !job.current_attempts.contains(passed) &&
+            !job.queued_on.contains(passed))
+            job.requeued.insert(passed);
     }
 }
 
--- a/src/records/done_records.cpp
+++ b/src/records/done_records.cpp
@@ -28,8 +28,8 @@
     auto &loaded = records_[name];
     for (const auto &part : parts)
         load_part(name, loaded, part);
-    loaded.takes =
-        loaded.bytes > most_record_bytes(settings_) ? capacity::too_large : capacity::closed;
+    loaded.fill_state =
+        loaded.bytes > max_record_bytes(settings_) ? record_state::too_large : record_state::closed;
 }
 
 void done_records::load_part(const std::string &name, record &into, const wire::done_part &part) {
@@ -38,15 +38,15 @@
         return;
     into.parts.insert({part.job, part.part});
     into.bytes += wire::done_bytes(part.job, part.bits.size());
-    job->done_in[part.part] = name;
+    job->done_record_of_part[part.part] = name;
     for (std::size_t offset = 0; offset < part.bits.size(); ++offset) {
         auto index = first_task_of(part.part) + offset;
         if (!part.bits[offset] || index >= job->done.size() || job->done[index])
             continue;
         job->done[index] = true;
         job->done_durable[index] = true;
-        ++job->done_count;
-        ++job->done_seen;
+        ++job->durable_done_count;
+        ++job->reported_done_count;
     }
 }
 
@@ -57,18 +57,18 @@
 // into another record. A part in two records is done where either says so.
 void done_records::note_done(catalog::job &job, std::uint32_t index, time_point now) {
     auto part = static_cast<std::uint32_t>(index / constants::part_done);
-    auto &name = job.done_in[part];
-    if (name.empty() || records_[name].takes == capacity::too_large)
-        name = place(job, part);
+    auto &name = job.done_record_of_part[part];
+    if (name.empty() || records_[name].fill_state == record_state::too_large)
+        name = assign_record(job, part);
     auto &changed = records_[name];
     if (!changed.dirty_since)
         changed.dirty_since = now;
 }
 
-std::string done_records::place(const catalog::job &job, std::uint32_t part) {
+std::string done_records::assign_record(const catalog::job &job, std::uint32_t part) {
     auto tasks = end_of_part(job, part) - first_task_of(part);
     auto bytes = wire::done_bytes(job.spec.id, tasks);
-    auto name = open_record(bytes);
+    auto name = open_record_for(bytes);
     auto &open = records_[name];
     open.bytes += bytes;
     open.parts.insert({job.spec.id, part});
@@ -76,12 +76,12 @@
 }
 
 // The record that takes the next part of so many bytes.
-std::string done_records::open_record(std::size_t bytes) {
+std::string done_records::open_record_for(std::size_t bytes) {
     auto open = records_.find(open_record_);
-    if (open != records_.end() && open->second.bytes + bytes <= most_record_bytes(settings_))
+    if (open != records_.end() && open->second.bytes + bytes <= max_record_bytes(settings_))
         return open_record_;
     if (open != records_.end())
-        open->second.takes = capacity::closed;
+        open->second.fill_state = record_state::closed;
     open_record_ = names_.next(state_.term());
     records_.emplace(open_record_, record{});
     return open_record_;
@@ -90,35 +90,36 @@
 // --- writing ---
 
 void done_records::take_writes(std::vector<durable_write> &out, time_point now, std::size_t &room) {
-    for (const auto &due : due_records(now)) {
+    for (const auto &due : writable_records(now)) {
         if (room == 0)
             return;
         auto &written = records_[due.name];
         written.dirty_since.reset();
-        auto write = write_of(due.name, written);
+        auto write = make_write(due.name, written);
         if (!write)
             continue;
-        written.writing = true;
+        written.write_pending = true;
         out.push_back(std::move(*write));
         --room;
     }
 }
 
 // What waits longest goes first.
-std::vector<done_records::due_record> done_records::due_records(time_point now) const {
-    std::vector<due_record> due;
+std::vector<done_records::dirty_record> done_records::writable_records(time_point now) const {
+    std::vector<dirty_record> due;
     for (const auto &[name, kept] : records_)
-        if (kept.dirty_since && !kept.writing && now - *kept.dirty_since >= constants::done_gap)
+        if (kept.dirty_since && !kept.write_pending &&
+            now - *kept.dirty_since >= constants::done_gap)
             due.push_back({*kept.dirty_since, name});
     std::sort(due.begin(), due.end());
     return due;
 }
 
-std::optional<durable_write> done_records::write_of(const std::string &name, record &written) {
-    drop_ended_parts(written);
+std::optional<durable_write> done_records::make_write(const std::string &name, record &written) {
+    erase_ended_parts(written);
     durable_write write;
-    write.kind = write_kind::done;
-    write.record = name;
+    write.kind = write_kind::done_tasks;
+    write.record_name = name;
     std::vector<wire::done_part> parts;
     for (const auto &kept : written.parts) {
         const auto *job = state_.find_job(kept.job);
@@ -127,35 +128,35 @@
              ++index) {
             part.bits.push_back(job->done[index]);
             if (job->done[index] && !job->done_durable[index])
-                write.done.push_back({kept.job, static_cast<std::uint32_t>(index)});
+                write.done_tasks.push_back({kept.job, static_cast<std::uint32_t>(index)});
         }
         parts.push_back(std::move(part));
     }
-    if (write.done.empty())
+    if (write.done_tasks.empty())
         return std::nullopt;
     write.ops.push_back({store::keys::done_tasks(name), wire::encode_done(parts), 0});
     return write;
 }
 
 // The ended records of their jobs tell all.
-void done_records::drop_ended_parts(record &from) {
+void done_records::erase_ended_parts(record &from) {
     std::erase_if(from.parts, [this](const job_part &part) {
         const auto *job = state_.find_job(part.job);
-        return !job || job->over();
+        return !job || job->is_closed();
     });
 }
 
 // --- written ---
 
 void done_records::on_written(const durable_write &write, bool ok, time_point now) {
-    if (auto found = records_.find(write.record); found != records_.end()) {
-        found->second.writing = false;
+    if (auto found = records_.find(write.record_name); found != records_.end()) {
+        found->second.write_pending = false;
         if (!ok) // due again after a pause
             found->second.dirty_since = now + constants::state_retry - constants::done_gap;
     }
     if (!ok)
         return;
-    for (const auto &task : write.done)
+    for (const auto &task : write.done_tasks)
         confirm(task);
 }
 
@@ -165,7 +166,7 @@
         return;
     if (!job->done_durable[task.index]) {
         job->done_durable[task.index] = true;
-        ++job->done_count;
+        ++job->durable_done_count;
     }
     if (const auto *attempt = state_.find_attempt(task);
         attempt && attempt->phase == attempt_phase::exited)
@@ -174,13 +175,13 @@
 
 // --- ended ---
 
-std::vector<std::string> done_records::take_ended() {
+std::vector<std::string> done_records::take_obsolete_keys() {
     std::vector<std::string> keys;
     for (auto next = records_.begin(); next != records_.end();) {
         auto &[name, swept] = *next;
         std::erase_if(swept.parts,
                       [this](const job_part &part) { return !state_.find_job(part.job); });
-        if (swept.writing || swept.takes == capacity::open || !swept.parts.empty()) {
+        if (swept.write_pending || swept.fill_state == record_state::open || !swept.parts.empty()) {
             ++next;
             continue;
         }
--- a/src/records/done_records.hpp
+++ b/src/records/done_records.hpp
@@ -34,7 +34,7 @@
     void take_writes(std::vector<durable_write> &out, time_point now, std::size_t &room);
     void on_written(const durable_write &write, bool ok, time_point now);
     // Forgets records whose jobs have all ended; the keys to delete.
-    [[nodiscard]] std::vector<std::string> take_ended();
+    [[nodiscard]] std::vector<std::string> take_obsolete_keys();
 
   private:
     // A range of a job's tasks, recorded together.
@@ -44,7 +44,7 @@
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
         auto operator<=>(const job_part &) const = default;
     };
-    enum class capacity {
+    enum class record_state {
         open,      // takes further parts
         closed,    // takes none
         too_large, // can't even be written again under the present limits
@@ -52,32 +52,32 @@
     struct record {
         std::set<job_part> parts;
         std::size_t bytes = 0;
-        capacity takes = capacity::open;
-        bool writing = false;                  // a write of it is under way
+        record_state fill_state = record_state::open;
+        bool write_pending = false;            // a write of it is under way
         std::optional<time_point> dirty_since; // nothing: all of it is written
     };
-    struct due_record {
+    struct dirty_record {
         time_point since{};
         std::string name;
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
-        auto operator<=>(const due_record &) const = default;
+        auto operator<=>(const dirty_record &) const = default;
     };
 
     void load_part(const std::string &name, record &into, const wire::done_part &part);
-    [[nodiscard]] std::string open_record(std::size_t bytes);
+    [[nodiscard]] std::string open_record_for(std::size_t bytes);
     // Finds room for a part of the job; the name of its record.
-    [[nodiscard]] std::string place(const catalog::job &job, std::uint32_t part);
-    [[nodiscard]] std::vector<due_record> due_records(time_point now) const;
+    [[nodiscard]] std::string assign_record(const catalog::job &job, std::uint32_t part);
+    [[nodiscard]] std::vector<dirty_record> writable_records(time_point now) const;
     // Nothing, if the record tells nothing new.
-    [[nodiscard]] std::optional<durable_write> write_of(const std::string &name, record &written);
-    void drop_ended_parts(record &from);
+    [[nodiscard]] std::optional<durable_write> make_write(const std::string &name, record &written);
+    void erase_ended_parts(record &from);
     void confirm(const catalog::task_ref &task);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
     std::map<std::string, record> records_;
     std::string open_record_; // empty: none yet
-    record_names names_;
+    record_name_generator names_;
 };
 
 } // namespace spindlecroft::records
--- a/src/records/job_ends.cpp
+++ b/src/records/job_ends.cpp
@@ -10,15 +10,16 @@
 
 // Every task is done and every attempt is over.
 bool is_complete(const catalog::job &job) {
-    if (job.cancelled || job.spec.shape != job_shape::array || job.done_seen != job.spec.tasks)
+    if (job.cancelled || job.spec.shape != job_shape::array ||
+        job.reported_done_count != job.spec.tasks)
         return false;
-    return std::all_of(job.live.begin(), job.live.end(), [](const auto &live) {
-        return live.second.phase == catalog::attempt_phase::exited;
-    });
+    return std::all_of(
+        job.current_attempts.begin(), job.current_attempts.end(),
+        [](const auto &live) { return live.second.phase == catalog::attempt_phase::exited; });
 }
 
 bool may_end(const catalog::job &job) {
-    bool cleared = job.cancelled && job.live.empty();
+    bool cleared = job.cancelled && job.current_attempts.empty();
     return cleared || is_complete(job);
 }
 
@@ -26,22 +27,22 @@
 
 void job_ends::take_writes(std::vector<durable_write> &out, time_point now) {
     for (auto &[id, job] : state_.jobs()) {
-        if (job.end_writing || job.ended || now < job.write_after || !may_end(job))
+        if (job.end_write_pending || job.ended || now < job.next_write_at || !may_end(job))
             continue;
-        job.end_writing = true;
-        out.push_back(write_of(job, now));
+        job.end_write_pending = true;
+        out.push_back(make_write(job, now));
     }
 }
 
-durable_write job_ends::write_of(const catalog::job &job, time_point now) const {
+durable_write job_ends::make_write(const catalog::job &job, time_point now) const {
     durable_write write;
     write.kind = write_kind::job_end;
     write.job = job.spec.id;
-    write.when.push_back({store::keys::active_job(write.job), job.version});
+    write.conditions.push_back({store::keys::active_job(write.job), job.record_revision});
     write.ops.push_back({store::keys::active_job(write.job), "", 0});
     wire::ended_record ended;
     ended.state = job.cancelled ? job_state::cancelled : job_state::done;
-    ended.done = job.done_seen;
+    ended.done = job.reported_done_count;
     ended.at = state_.term().clock.to_wall(now); // from then on those that wait for it are ready
     write.ops.push_back({store::keys::ended_job(write.job), wire::encode_ended(ended), 0});
     return write;
@@ -54,12 +55,12 @@
         return std::nullopt;
     if (!ok) {
         // A cancel came first; the watch will tell.
-        job->end_writing = false;
-        job->write_after = now + constants::state_retry;
+        job->end_write_pending = false;
+        job->next_write_at = now + constants::state_retry;
         return std::nullopt;
     }
-    while (!job->live.empty())
-        state_.release_attempt(*job, job->live.begin()->first, false);
+    while (!job->current_attempts.empty())
+        state_.release_attempt(*job, job->current_attempts.begin()->first, false);
     state_.remove_job(write.job);
     auto ended = wire::parse_ended(write.ops.back().value);
     return catalog::wall_predecessor_end{ended.state, ended.at};
--- a/src/records/job_ends.hpp
+++ b/src/records/job_ends.hpp
@@ -24,7 +24,7 @@
     on_written(const durable_write &write, bool ok, time_point now);
 
   private:
-    [[nodiscard]] durable_write write_of(const catalog::job &job, time_point now) const;
+    [[nodiscard]] durable_write make_write(const catalog::job &job, time_point now) const;
 
     model::cluster_state &state_;
 };
--- a/src/records/job_loader.cpp
+++ b/src/records/job_loader.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool done_or_live(const catalog::job &job, std::uint32_t index) {
-    return job.done[index] || job.live.contains(index);
+    return job.done[index] || job.current_attempts.contains(index);
 }
 
 // Tasks after the last one that was ever placed are fresh; the others that are neither done nor on
@@ -17,10 +17,10 @@
     for (std::uint32_t index = 0; index < job.spec.tasks; ++index)
         if (done_or_live(job, index))
             first_fresh = index + 1;
-    job.next_fresh = first_fresh;
+    job.next_unplaced = first_fresh;
     for (std::uint32_t index = 0; index < first_fresh; ++index)
         if (!done_or_live(job, index))
-            job.again.insert(index);
+            job.requeued.insert(index);
 }
 
 } // namespace
@@ -29,7 +29,7 @@
                       time_point now) {
     catalog::job loaded;
     loaded.spec = record.spec;
-    loaded.version = version;
+    loaded.record_revision = version;
     loaded.accepted_at = std::min(now, state_.term().clock.to_steady(record.accepted_at));
     loaded.done.assign(record.spec.tasks, false);
     loaded.done_durable.assign(record.spec.tasks, false);
@@ -50,9 +50,9 @@
         load(id, record, version, now);
         return;
     }
-    if (version < job->version)
+    if (version < job->record_revision)
         return;
-    job->version = version;
+    job->record_revision = version;
     if (record.cancelled && !job->cancelled)
         dependencies_.cancel(*job, record.cancelled_at, now);
 }
@@ -60,9 +60,9 @@
 void job_loader::on_cancel(const cancel_notice &notice, time_point now) {
     state_.request_planning();
     auto *job = state_.find_job(notice.job);
-    if (!job || notice.revision < job->version)
+    if (!job || notice.revision < job->record_revision)
         return;
-    job->version = notice.revision;
+    job->record_revision = notice.revision;
     if (!job->cancelled)
         dependencies_.cancel(*job, notice.at, now);
 }
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -22,18 +22,19 @@
 void placement_records::load(const std::string &name, const std::vector<wire::placed_task> &tasks,
                              time_point now) {
     auto &loaded = records_[name];
-    loaded.open = false;
+    loaded.accepts_placements = false;
     for (const auto &task : tasks)
-        load_task(loaded, task, now);
+        load_placement(loaded, task, now);
 }
 
-void placement_records::load_task(record &into, const wire::placed_task &task, time_point now) {
+void placement_records::load_placement(record &into, const wire::placed_task &task,
+                                       time_point now) {
     auto *job = state_.find_job(task.job);
     if (!job || task.index >= job->spec.tasks || job->done[task.index])
         return;
     // An older record may still name an attempt that was proven gone before a newer one was made:
     // attempt numbers only grow.
-    if (auto known = job->live.find(task.index); known != job->live.end()) {
+    if (auto known = job->current_attempts.find(task.index); known != job->current_attempts.end()) {
         if (known->second.number >= task.attempt)
             return;
         state_.release_attempt(*job, task.index, false);
@@ -48,8 +49,8 @@
     attempt.phase = attempt_phase::sent;
     attempt.inherited = true;
     attempt.created_at = now;
-    attempt.estimate = state_.estimates().expected_run_time(job->spec);
-    attempt.stop_wanted = job->cancelled;
+    attempt.expected_run_time = state_.estimates().expected_run_time(job->spec);
+    attempt.stop_requested = job->cancelled;
     state_.ensure_machine(task.machine, now);
     state_.add_attempt(*job, std::move(attempt));
 }
@@ -72,7 +73,7 @@
     bool paced = group == task_group::arrays;
     while (!from.waiting.empty()) {
         auto &extended = open_record(from);
-        if (extended.writing)
+        if (extended.write_pending)
             return; // the next write takes all that gathers meanwhile
         // Guards against placements that take every change the key-value store allows, one for
         // each few tasks, while the records of ended jobs wait and users hear of them too late.
@@ -81,17 +82,17 @@
         auto filled = begin_draft(from.open_record, extended);
         fill(filled, extended, from, now);
         bool full = filled.full;
-        if (!filled.write.attempts.empty()) {
+        if (!filled.write.placed_attempts.empty()) {
             filled.write.ops.push_back({store::keys::placements(from.open_record),
                                         wire::encode_placed(extended.tasks), 0});
             if (paced && !full)
-                next_array_write_ = now + write_gap();
-            extended.writing = true;
+                next_array_write_ = now + write_interval();
+            extended.write_pending = true;
             out.push_back(std::move(filled.write));
         }
         if (!full)
             return;
-        extended.open = false;
+        extended.accepts_placements = false;
         from.open_record.clear();
     }
 }
@@ -103,10 +104,10 @@
 }
 
 placement_records::draft placement_records::begin_draft(const std::string &name, record &extended) {
-    drop_ended_tasks(extended);
+    erase_ended_tasks(extended);
     draft begun;
-    begun.write.kind = write_kind::placed;
-    begun.write.record = name;
+    begun.write.kind = write_kind::placements;
+    begun.write.record_name = name;
     begun.bytes = empty_record_bytes;
     for (const auto &task : extended.tasks)
         begun.bytes += wire::placed_bytes(task);
@@ -119,39 +120,39 @@
     std::deque<catalog::task_ref> postponed;
     while (!waiting.empty()) {
         auto task = waiting.front();
-        auto judged = judge(filled, task, now);
-        if (judged == verdict::full) {
+        auto judged = decide(filled, task, now);
+        if (judged == fill_decision::record_full) {
             filled.full = true;
             break;
         }
         waiting.pop_front();
-        if (judged == verdict::postpone)
+        if (judged == fill_decision::postpone)
             postponed.push_back(task);
-        else if (judged == verdict::take)
-            cover(filled, extended, task);
+        else if (judged == fill_decision::include)
+            include_placement(filled, extended, task);
     }
     waiting.insert(waiting.begin(), postponed.begin(), postponed.end());
 }
 
-placement_records::verdict placement_records::judge(const draft &filled,
-                                                    const catalog::task_ref &task, time_point now) {
+placement_records::fill_decision
+placement_records::decide(const draft &filled, const catalog::task_ref &task, time_point now) {
     auto *job = state_.find_job(task.job);
     const auto *attempt = state_.find_attempt(task);
-    if (!job || job->over() || !attempt || attempt->phase != attempt_phase::committing)
-        return verdict::drop;
+    if (!job || job->is_closed() || !attempt || attempt->phase != attempt_phase::committing)
+        return fill_decision::discard;
     if (!job->ready) { // never queued, so never here; checked again before it is durable
         state_.release_attempt(*job, task.index, true);
-        return verdict::drop;
+        return fill_decision::discard;
     }
-    if (now < job->write_after)
-        return verdict::postpone;
+    if (now < job->next_write_at)
+        return fill_decision::postpone;
     // Guards against writes that cover a few tasks each while queues of many jobs drain: a write
     // takes every task of as many jobs as it may name.
-    if (!filled.jobs.contains(task.job) && filled.jobs.size() >= most_jobs())
-        return verdict::postpone;
-    if (filled.bytes + wire::placed_bytes(placement_of(task)) > most_bytes())
-        return verdict::full;
-    return verdict::take;
+    if (!filled.jobs.contains(task.job) && filled.jobs.size() >= max_jobs_per_write())
+        return fill_decision::postpone;
+    if (filled.bytes + wire::placed_bytes(placement_of(task)) > max_record_size())
+        return fill_decision::record_full;
+    return fill_decision::include;
 }
 
 wire::placed_task placement_records::placement_of(const catalog::task_ref &task) const {
@@ -159,18 +160,19 @@
     return {task.job, task.index, attempt->number, attempt->machine};
 }
 
-void placement_records::cover(draft &filled, record &extended, const catalog::task_ref &task) {
+void placement_records::include_placement(draft &filled, record &extended,
+                                          const catalog::task_ref &task) {
     auto placement = placement_of(task);
     filled.bytes += wire::placed_bytes(placement);
     // A cancel changes the job's record, so it wins over a placement made meanwhile.
     if (filled.jobs.insert(task.job).second)
-        filled.write.when.push_back(
-            {store::keys::active_job(task.job), state_.find_job(task.job)->version});
-    filled.write.attempts.push_back({task, placement.attempt});
+        filled.write.conditions.push_back(
+            {store::keys::active_job(task.job), state_.find_job(task.job)->record_revision});
+    filled.write.placed_attempts.push_back({task, placement.attempt});
     extended.tasks.push_back(std::move(placement));
 }
 
-void placement_records::drop_ended_tasks(record &from) {
+void placement_records::erase_ended_tasks(record &from) {
     std::erase_if(from.tasks, [this](const wire::placed_task &task) {
         return !state_.find_attempt({task.job, task.index}, task.attempt);
     });
@@ -180,16 +182,16 @@
     return group == task_group::services ? services_ : arrays_;
 }
 
-std::size_t placement_records::most_jobs() const {
+std::size_t placement_records::max_jobs_per_write() const {
     return static_cast<std::size_t>(
         std::max(1, conditions_per_op * settings_.txn_ops - other_conditions));
 }
 
-std::size_t placement_records::most_bytes() const {
-    return std::min(most_record_bytes(settings_), constants::txn_bytes);
+std::size_t placement_records::max_record_size() const {
+    return std::min(max_record_bytes(settings_), constants::txn_bytes);
 }
 
-seconds placement_records::write_gap() const {
+seconds placement_records::write_interval() const {
     return seconds{1} / (constants::placement_share * constants::leader_write_share *
                          constants::state_share * settings_.state_write_rps);
 }
@@ -197,9 +199,9 @@
 // --- written ---
 
 void placement_records::on_written(const durable_write &write, bool ok, time_point now) {
-    if (auto written = records_.find(write.record); written != records_.end())
-        written->second.writing = false;
-    for (const auto &placed : write.attempts)
+    if (auto written = records_.find(write.record_name); written != records_.end())
+        written->second.write_pending = false;
+    for (const auto &placed : write.placed_attempts)
         confirm(placed, ok, now);
 }
 
@@ -208,12 +210,12 @@
     if (!job)
         return;
     if (!ok)
-        job->write_after = now + constants::state_retry; // by then the watch tells what changed
+        job->next_write_at = now + constants::state_retry; // by then the watch tells what changed
     auto *attempt = state_.find_attempt(placed.task, placed.number);
     if (!attempt || attempt->phase != attempt_phase::committing)
         return;
     const auto *machine = state_.find_machine(attempt->machine);
-    if (!ok || job->over() || !machine || !machine->usable()) {
+    if (!ok || job->is_closed() || !machine || !machine->usable()) {
         state_.release_attempt(*job, placed.task.index, true);
         return;
     }
@@ -223,13 +225,13 @@
 
 // --- ended ---
 
-std::vector<std::string> placement_records::take_ended() {
+std::vector<std::string> placement_records::take_obsolete_keys() {
     std::vector<std::string> keys;
     for (auto next = records_.begin(); next != records_.end();) {
         auto &[name, swept] = *next;
-        if (!swept.writing && !swept.open)
-            drop_ended_tasks(swept);
-        if (swept.writing || swept.open || !swept.tasks.empty()) {
+        if (!swept.write_pending && !swept.accepts_placements)
+            erase_ended_tasks(swept);
+        if (swept.write_pending || swept.accepts_placements || !swept.tasks.empty()) {
             ++next;
             continue;
         }
--- a/src/records/placement_records.hpp
+++ b/src/records/placement_records.hpp
@@ -36,13 +36,13 @@
     void take_writes(std::vector<durable_write> &out, time_point now);
     void on_written(const durable_write &write, bool ok, time_point now);
     // Forgets records whose placements have all ended; the keys to delete.
-    [[nodiscard]] std::vector<std::string> take_ended();
+    [[nodiscard]] std::vector<std::string> take_obsolete_keys();
 
   private:
     struct record {
         std::vector<wire::placed_task> tasks;
-        bool writing = false; // a write of it is under way
-        bool open = true;     // takes further placements
+        bool write_pending = false;     // a write of it is under way
+        bool accepts_placements = true; // takes further placements
     };
     // Services stay for long, so they don't share records with arrays.
     enum class task_group { arrays, services };
@@ -57,36 +57,37 @@
         std::size_t bytes = 0;      // of the record
         bool full = false;          // the next placement did not fit
     };
-    enum class verdict {
-        take,
-        postpone, // to a later write
-        drop,     // nothing to record any more
-        full,     // into the next record
+    enum class fill_decision {
+        include,
+        postpone,    // to a later write
+        discard,     // nothing to record any more
+        record_full, // into the next record
     };
 
-    void load_task(record &into, const wire::placed_task &task, time_point now);
+    void load_placement(record &into, const wire::placed_task &task, time_point now);
     void take_writes_of(task_group group, std::vector<durable_write> &out, time_point now);
     [[nodiscard]] record &open_record(queue &from);
     [[nodiscard]] draft begin_draft(const std::string &name, record &extended);
     void fill(draft &filled, record &extended, queue &from, time_point now);
-    [[nodiscard]] verdict judge(const draft &filled, const catalog::task_ref &task, time_point now);
+    [[nodiscard]] fill_decision decide(const draft &filled, const catalog::task_ref &task,
+                                       time_point now);
     [[nodiscard]] wire::placed_task placement_of(const catalog::task_ref &task) const;
-    void cover(draft &filled, record &extended, const catalog::task_ref &task);
-    void drop_ended_tasks(record &from);
+    void include_placement(draft &filled, record &extended, const catalog::task_ref &task);
+    void erase_ended_tasks(record &from);
     void confirm(const placed_attempt &placed, bool ok, time_point now);
     [[nodiscard]] queue &queue_of(task_group group);
     // At most so many jobs can one write name.
-    [[nodiscard]] std::size_t most_jobs() const;
-    [[nodiscard]] std::size_t most_bytes() const;
+    [[nodiscard]] std::size_t max_jobs_per_write() const;
+    [[nodiscard]] std::size_t max_record_size() const;
     // The time between two writes of placements of arrays.
-    [[nodiscard]] seconds write_gap() const;
+    [[nodiscard]] seconds write_interval() const;
 
     const settings::settings &settings_;
     model::cluster_state &state_;
     std::map<std::string, record> records_;
     queue arrays_;
     queue services_;
-    record_names names_;
+    record_name_generator names_;
     std::optional<time_point> next_array_write_;
 };
 
--- a/src/records/record_cleanup.cpp
+++ b/src/records/record_cleanup.cpp
@@ -8,8 +8,8 @@
     if (!elapsed(last_sweep_, constants::sweep_gap, now))
         return;
     last_sweep_ = now;
-    add(placements.take_ended());
-    add(done.take_ended());
+    add(placements.take_obsolete_keys());
+    add(done.take_obsolete_keys());
 }
 
 void record_cleanup::add(const std::vector<std::string> &keys) {
--- a/src/records/record_names.cpp
+++ b/src/records/record_names.cpp
@@ -3,7 +3,7 @@
 
 namespace spindlecroft::records {
 
-std::string record_names::next(const model::leadership_term &term) {
+std::string record_name_generator::next(const model::leadership_term &term) {
     return fmt::format("{}-{}", term.first_token, ++count_);
 }
 
--- a/src/records/record_names.hpp
+++ b/src/records/record_names.hpp
@@ -7,7 +7,7 @@
 namespace spindlecroft::records {
 
 // Gives out names that no other leadership uses, for records of one kind.
-class record_names {
+class record_name_generator {
   public:
     [[nodiscard]] std::string next(const model::leadership_term &term);
 
--- a/src/records/record_sizes.cpp
+++ b/src/records/record_sizes.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-std::size_t most_record_bytes(const settings::settings &settings) {
+std::size_t max_record_bytes(const settings::settings &settings) {
     return static_cast<std::size_t>(constants::placed_fill * settings.value_kb * bytes_per_kb);
 }
 
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -9,7 +9,7 @@
 namespace spindlecroft::records {
 
 void suspect_record::load(const std::vector<std::string> &jobs, time_point now) {
-    stored_ = jobs;
+    stored_suspects_ = jobs;
     for (const auto &id : jobs)
         if (state_.find_job(id))
             state_.failures().load_suspect(id, now);
@@ -18,13 +18,13 @@
 // Guards against a new leader that tries every task of a job that fails everywhere once more, and
 // blames the machines for it.
 void suspect_record::take_writes(std::vector<durable_write> &out, time_point now) {
-    if (writing_ || !elapsed(last_write_, constants::suspects_gap, now))
+    if (write_pending_ || !elapsed(last_write_, constants::suspects_gap, now))
         return;
     auto jobs = suspects_that_fit();
-    if (jobs == stored_)
+    if (jobs == stored_suspects_)
         return;
     last_write_ = now;
-    writing_ = true;
+    write_pending_ = true;
     durable_write write;
     write.kind = write_kind::suspects;
     write.ops.push_back({store::keys::suspect_jobs, wire::encode_suspects(jobs), 0});
@@ -33,7 +33,7 @@
 }
 
 std::vector<std::string> suspect_record::suspects_that_fit() const {
-    auto most = most_record_bytes(settings_);
+    auto most = max_record_bytes(settings_);
     auto bytes = wire::suspects_bytes("");
     std::vector<std::string> jobs;
     for (const auto &id : state_.failures().suspects()) {
@@ -46,9 +46,9 @@
 }
 
 void suspect_record::on_written(const durable_write &write, bool ok) {
-    writing_ = false;
+    write_pending_ = false;
     if (ok)
-        stored_ = write.suspects;
+        stored_suspects_ = write.suspects;
 }
 
 } // namespace spindlecroft::records
--- a/src/records/suspect_record.hpp
+++ b/src/records/suspect_record.hpp
@@ -29,8 +29,8 @@
 
     const settings::settings &settings_;
     model::cluster_state &state_;
-    std::vector<std::string> stored_; // as the record at the key-value store has them
-    bool writing_ = false;            // a write is under way
+    std::vector<std::string> stored_suspects_; // as the record at the key-value store has them
+    bool write_pending_ = false;               // a write is under way
     std::optional<time_point> last_write_;
 };
 
--- a/src/store/batch.cpp
+++ b/src/store/batch.cpp
@@ -76,7 +76,7 @@
 bool conflicts(const write_unit &unit, const std::set<std::string> &failed_keys) {
     auto failed = [&](auto &touched) { return failed_keys.count(touched.key) > 0; };
     return std::any_of(unit.conditions.begin(), unit.conditions.end(), failed) ||
-           (unit.owned && std::any_of(unit.ops.begin(), unit.ops.end(), failed));
+           (unit.owns_keys && std::any_of(unit.ops.begin(), unit.ops.end(), failed));
 }
 
 } // namespace
@@ -131,7 +131,7 @@
                      [](auto &left, auto &right) { return left.priority < right.priority; });
 }
 
-void put_back_after(std::size_t kept, write_batch &batch, std::deque<write_unit> &waiting) {
+void requeue_after(std::size_t kept, write_batch &batch, std::deque<write_unit> &waiting) {
     while (batch.size() > kept) {
         waiting.push_front(std::move(batch.back()));
         batch.pop_back();
--- a/src/store/batch.hpp
+++ b/src/store/batch.hpp
@@ -31,11 +31,11 @@
 // minutes after an outage: users repeat each request every second, and what they have given up on
 // would all be sent first, a few changes a second.
 template <class Units>
-void drop_given_up(Units &units, time_point now) {
+void drop_expired(Units &units, time_point now) {
     std::erase_if(units, [&](const write_unit &unit) {
-        if (!unit.give_up_at || now < *unit.give_up_at)
+        if (!unit.deadline || now < *unit.deadline)
             return false;
-        finish(unit, write_outcome::lost);
+        finish(unit, write_outcome::unconfirmed);
         return true;
     });
 }
@@ -44,7 +44,7 @@
 void sort_by_priority(write_batch &batch);
 
 // Puts all but the first `kept` units back at the head of the queue, in their order.
-void put_back_after(std::size_t kept, write_batch &batch, std::deque<write_unit> &waiting);
+void requeue_after(std::size_t kept, write_batch &batch, std::deque<write_unit> &waiting);
 
 // Takes the units out of the batch that depend on one of the keys whose conditions failed.
 [[nodiscard]] write_batch take_conflicting(const std::set<std::string> &failed_keys,
--- a/src/store/budget.cpp
+++ b/src/store/budget.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-bool budget::take(double tokens, request_priority priority, time_point now) {
+bool token_bucket::try_take(double tokens, request_priority priority, time_point now) {
     if (refilled_at_)
         tokens_ = std::min(burst_, tokens_ + (now - *refilled_at_).count() * rate_);
     refilled_at_ = now;
--- a/src/store/budget.hpp
+++ b/src/store/budget.hpp
@@ -7,13 +7,13 @@
 namespace spindlecroft::store {
 
 // Refills with time, up to its burst. Less urgent requests leave a reserve to more urgent ones.
-class budget {
+class token_bucket {
   public:
     // rate: tokens a second. burst: how long the bucket takes to fill; it starts full.
-    explicit budget(double rate, seconds burst = seconds{1})
+    explicit token_bucket(double rate, seconds burst = seconds{1})
         : rate_(rate), burst_(rate * burst.count()), tokens_(burst_) {}
     // Takes the tokens if the priority allows it; otherwise returns false and takes nothing.
-    [[nodiscard]] bool take(double tokens, request_priority priority, time_point now);
+    [[nodiscard]] bool try_take(double tokens, request_priority priority, time_point now);
     // Tokens a second from now on; the bucket then holds those of one second.
     void set_rate(double rate) {
         rate_ = rate;
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -17,31 +17,31 @@
 
 committer::committer(net::asio::io_context &io, key_value_client &state,
                      const settings::settings &settings, std::string name)
-    : state_(state), settings_(settings), name_(std::move(name)), wake_(io) {}
+    : state_(state), settings_(settings), name_(std::move(name)), unit_submitted_(io) {}
 
-bool committer::full() const {
+bool committer::is_full() const {
     return waiting_.size() >= c::commit_queue;
 }
 
 void committer::submit(write_unit unit) {
-    if (stopping_ || known_too_large(unit)) {
-        finish(unit, stopping_ ? write_outcome::lost : write_outcome::too_large);
+    if (stopping_ || is_known_too_large(unit)) {
+        finish(unit, stopping_ ? write_outcome::unconfirmed : write_outcome::too_large);
         return;
     }
     waiting_.push_back(std::move(unit));
-    wake_.notify();
+    unit_submitted_.notify();
 }
 
 void committer::stop() {
     stopping_ = true;
-    wake_.notify();
+    unit_submitted_.notify();
 }
 
 awaitable<void> committer::run() {
     while (!stopping_) {
-        drop_given_up(waiting_, net::steady_now());
+        drop_expired(waiting_, net::steady_now());
         if (waiting_.empty()) {
-            co_await wake_.wait_for(idle_wait);
+            co_await unit_submitted_.wait_for(idle_wait);
             continue;
         }
         co_await net::sleep_for(c::commit_gap);
@@ -52,10 +52,10 @@
     write_batch left(std::make_move_iterator(waiting_.begin()),
                      std::make_move_iterator(waiting_.end()));
     waiting_.clear();
-    finish(left, write_outcome::lost);
+    finish(left, write_outcome::unconfirmed);
 }
 
-bool committer::permitted() const {
+bool committer::may_write() const {
     return !stopping_ && (!fence || fence());
 }
 
@@ -73,52 +73,52 @@
     while (!batch.empty()) {
         auto next = next_transaction(batch);
         if (!next) {
-            finish(batch, write_outcome::lost);
+            finish(batch, write_outcome::unconfirmed);
             co_return;
         }
-        while (co_await send_once(*next, batch) == next_step::same_again) {
+        while (co_await send_once(*next, batch) == next_step::resend) {
         }
     }
 }
 
 awaitable<committer::next_step> committer::send_once(transaction &sent, write_batch &batch) {
-    net::permission may_send = [this] { return permitted(); };
+    net::permission may_send = [this] { return may_write(); };
     auto answer =
         co_await state_.commit(sent.conditions, sent.ops, sent.priority, std::move(may_send));
     switch (answer.outcome) {
     case transaction_outcome::committed:
-        on_committed(batch, answer.revision);
-        co_return next_step::settled;
+        handle_commit(batch, answer.revision);
+        co_return next_step::build_next;
     case transaction_outcome::unknown:
-        sent.unsure = true;
+        sent.outcome_unknown = true;
         co_await net::sleep_for(c::state_retry);
         // The same again: its conditions hold at most once.
-        co_return again_if_permitted(batch);
+        co_return retry_if_permitted(batch);
     case transaction_outcome::refused:
         co_await net::sleep_for(c::state_retry);
-        co_return on_refused(sent, batch);
+        co_return handle_refusal(sent, batch);
     case transaction_outcome::rejected:
     case transaction_outcome::conflict:
         break;
     }
-    if (co_await settled_by_own_copy(sent, batch))
-        co_return next_step::settled;
+    if (co_await settled_by_earlier_copy(sent, batch))
+        co_return next_step::build_next;
     if (answer.outcome == transaction_outcome::rejected)
-        co_return on_too_large(sent, answer.error, batch);
+        co_return handle_too_large(sent, answer.error, batch);
     std::set<std::string> failed(answer.failed.begin(), answer.failed.end());
-    co_return co_await on_conflict(sent, failed, batch);
+    co_return co_await handle_conflict(sent, failed, batch);
 }
 
-committer::next_step committer::again_if_permitted(write_batch &batch) {
-    if (permitted())
-        return next_step::same_again;
-    finish(batch, write_outcome::lost);
-    return next_step::settled;
+committer::next_step committer::retry_if_permitted(write_batch &batch) {
+    if (may_write())
+        return next_step::resend;
+    finish(batch, write_outcome::unconfirmed);
+    return next_step::build_next;
 }
 
-void committer::on_committed(write_batch &batch, std::uint64_t revision) {
+void committer::handle_commit(write_batch &batch, std::uint64_t revision) {
     for (auto &unit : batch) {
-        if (!unit.owned)
+        if (!unit.owns_keys)
             continue;
         for (auto &change : unit.ops)
             revisions_.note_committed(change, revision);
@@ -129,26 +129,26 @@
 // Guards against a large transaction that the service never has room for while small ones of other
 // nodes use up what it allows. One that may have been executed stays as it is: the same again is
 // applied at most once.
-committer::next_step committer::on_refused(const transaction &sent, write_batch &batch) {
-    if (sent.unsure || !permitted())
-        return again_if_permitted(batch);
-    drop_given_up(batch, net::steady_now());
+committer::next_step committer::handle_refusal(const transaction &sent, write_batch &batch) {
+    if (sent.outcome_unknown || !may_write())
+        return retry_if_permitted(batch);
+    drop_expired(batch, net::steady_now());
     sort_by_priority(batch);
-    put_back_after(sent.kept_after_refusal, batch, waiting_);
-    return next_step::settled;
+    requeue_after(sent.units_kept_after_refusal, batch, waiting_);
+    return next_step::build_next;
 }
 
 // Guards against a change that is sent and refused for ever once the service takes smaller values
 // or transactions: it is split, and what can't be is refused here from then on.
-committer::next_step committer::on_too_large(const transaction &sent, const std::string &error,
-                                             write_batch &batch) {
+committer::next_step committer::handle_too_large(const transaction &sent, const std::string &error,
+                                                 write_batch &batch) {
     if (batch.size() > 1) {
-        put_back_after(sent.kept_after_refusal, batch, waiting_);
-        return next_step::settled;
+        requeue_after(sent.units_kept_after_refusal, batch, waiting_);
+        return next_step::build_next;
     }
     remember_too_large(batch.front(), error);
     finish(batch, write_outcome::too_large);
-    return next_step::settled;
+    return next_step::build_next;
 }
 
 void committer::remember_too_large(const write_unit &unit, const std::string &error) {
@@ -161,49 +161,50 @@
     }
 }
 
-bool committer::known_too_large(const write_unit &unit) const {
+bool committer::is_known_too_large(const write_unit &unit) const {
     return std::any_of(unit.ops.begin(), unit.ops.end(), [&](const txn_op &change) {
         auto refused = too_large_.find(change.key);
         return refused != too_large_.end() && change.value.size() >= refused->second;
     });
 }
 
-awaitable<committer::next_step> committer::on_conflict(const transaction &sent,
-                                                       const std::set<std::string> &failed,
-                                                       write_batch &batch) {
+awaitable<committer::next_step> committer::handle_conflict(const transaction &sent,
+                                                           const std::set<std::string> &failed,
+                                                           write_batch &batch) {
     if (sent.fence && failed.count(sent.fence->key))
-        co_return co_await on_fence_failed(sent, batch);
+        co_return co_await handle_fence_failure(sent, batch);
     co_await drop_conflicting(sent.priority, failed, batch);
-    co_return next_step::settled;
+    co_return next_step::build_next;
 }
 
-awaitable<bool> committer::settled_by_own_copy(const transaction &sent, write_batch &batch) {
-    if (!sent.unsure)
+awaitable<bool> committer::settled_by_earlier_copy(const transaction &sent, write_batch &batch) {
+    if (!sent.outcome_unknown)
         co_return false;
-    auto own = co_await find_own_copy(sent);
+    auto own = co_await find_earlier_copy(sent);
     if (!own) {
-        finish(batch, write_outcome::lost);
+        finish(batch, write_outcome::unconfirmed);
         co_return true;
     }
     if (own->applied)
-        on_committed(batch, own->revision);
+        handle_commit(batch, own->revision);
     co_return own->applied;
 }
 
 // After an unknown outcome it may have been our own copy that moved the keys. All or nothing was
 // applied, so one written value tells.
-awaitable<std::optional<committer::own_copy>> committer::find_own_copy(const transaction &sent) {
+awaitable<std::optional<committer::earlier_copy>>
+committer::find_earlier_copy(const transaction &sent) {
     auto written = std::find_if(sent.ops.begin(), sent.ops.end(),
                                 [](auto &change) { return !change.value.empty(); });
     if (written == sent.ops.end())
-        co_return own_copy{true, 0}; // deletions of keys that nobody else writes
+        co_return earlier_copy{true, 0}; // deletions of keys that nobody else writes
     for (;;) {
         auto read = co_await state_.get(written->key, sent.priority);
         if (read) {
             bool applied = read->found && wire::same_json(read->item.value, written->value);
-            co_return own_copy{applied, applied ? read->item.version : 0};
+            co_return earlier_copy{applied, applied ? read->item.version : 0};
         }
-        if (!permitted())
+        if (!may_write())
             co_return std::nullopt;
         co_await net::sleep_for(c::state_retry);
     }
@@ -211,17 +212,17 @@
 
 // The token was raised meanwhile, or we lead no more: whoever holds the fence finds out which, or
 // this would be tried for ever.
-awaitable<committer::next_step> committer::on_fence_failed(const transaction &sent,
-                                                           write_batch &batch) {
-    if (fence_failed)
-        fence_failed();
+awaitable<committer::next_step> committer::handle_fence_failure(const transaction &sent,
+                                                                write_batch &batch) {
+    if (on_fence_failed)
+        on_fence_failed();
     co_await net::sleep_for(c::state_retry);
     auto now = fence();
     if (!now) {
-        finish(batch, write_outcome::lost);
-        co_return next_step::settled;
+        finish(batch, write_outcome::unconfirmed);
+        co_return next_step::build_next;
     }
-    co_return now->version != sent.fence->version ? next_step::settled : next_step::same_again;
+    co_return now->version != sent.fence->version ? next_step::build_next : next_step::resend;
 }
 
 // Units whose conditions failed are told; the others are tried again without them.
@@ -235,7 +236,7 @@
     }
     for (auto &unit : conflicting)
         for (auto &change : unit.ops)
-            if (unit.owned && failed.count(change.key))
+            if (unit.owns_keys && failed.count(change.key))
                 co_await read_revision(change.key, priority);
     finish(conflicting, write_outcome::conflict);
 }
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -64,13 +64,13 @@
 } // namespace
 
 key_value_client::key_value_client(net::asio::io_context &io, const settings::settings &settings)
-    : client_(io, settings.state, idle_connections), settings_(settings), requests_(1), writes_(1),
-      write_rate_(settings.state_write_rps, settings.next_state_write_rps),
-      last_ok_(net::steady_now()) {
-    leading(false);
+    : client_(io, settings.state, idle_connections), settings_(settings), request_budget_(1),
+      write_budget_(1), write_rate_(settings.state_write_rps, settings.next_state_write_rps),
+      last_reply_at_(net::steady_now()) {
+    set_leading(false);
 }
 
-void key_value_client::leading(bool yes) {
+void key_value_client::set_leading(bool yes) {
     leading_ = yes;
     set_rates();
 }
@@ -84,42 +84,42 @@
         request_share = leading_ ? leader_request_share : leader_request_share / others;
         write_share = leading_ ? c::leader_write_share : (1 - c::leader_write_share) / others;
     }
-    requests_.set_rate(c::state_share * settings_.state_rps * request_share);
-    writes_.set_rate(
+    request_budget_.set_rate(c::state_share * settings_.state_rps * request_share);
+    write_budget_.set_rate(
         std::max(least_write_rate, c::state_share * write_rate_.limit() * write_share));
 }
 
-awaitable<void> key_value_client::admit(request_priority priority, double write_count) {
+awaitable<void> key_value_client::wait_for_budget(request_priority priority, double write_count) {
     // Leadership is never made to wait by our own bookkeeping.
     if (priority == request_priority::leadership) {
         auto now = net::steady_now();
-        (void)requests_.take(1, priority, now);
-        (void)writes_.take(write_count, priority, now);
+        (void)request_budget_.try_take(1, priority, now);
+        (void)write_budget_.try_take(write_count, priority, now);
         co_return;
     }
     if (write_count <= 0) {
-        co_await admit_request(priority);
+        co_await wait_for_request_budget(priority);
         co_return;
     }
-    write_queue_place place(queue_, net::steady_now());
-    auto raised = co_await admit_write(place, priority, write_count);
-    co_await admit_request(raised);
+    write_queue_entry place(write_queue_, net::steady_now());
+    auto raised = co_await wait_for_write_budget(place, priority, write_count);
+    co_await wait_for_request_budget(raised);
 }
 
-awaitable<request_priority> key_value_client::admit_write(const write_queue_place &place,
-                                                          request_priority priority,
-                                                          double write_count) {
+awaitable<request_priority> key_value_client::wait_for_write_budget(const write_queue_entry &place,
+                                                                    request_priority priority,
+                                                                    double write_count) {
     for (;;) {
         auto now = net::steady_now();
-        auto raised = place.priority_of(priority, now);
-        if (place.may_go(priority, now) && writes_.take(write_count, raised, now))
+        auto raised = place.effective_priority(priority, now);
+        if (place.may_proceed(priority, now) && write_budget_.try_take(write_count, raised, now))
             co_return raised;
         co_await net::sleep_for(budget_poll);
     }
 }
 
-awaitable<void> key_value_client::admit_request(request_priority priority) {
-    while (!requests_.take(1, priority, net::steady_now()))
+awaitable<void> key_value_client::wait_for_request_budget(request_priority priority) {
+    while (!request_budget_.try_take(1, priority, net::steady_now()))
         co_await net::sleep_for(budget_poll);
 }
 
@@ -127,9 +127,9 @@
                                              std::string body, seconds timeout,
                                              request_priority priority, double write_count,
                                              net::permission permitted) {
-    co_await admit(priority, write_count);
-    ++requests;
-    writes += static_cast<std::uint64_t>(write_count);
+    co_await wait_for_budget(priority, write_count);
+    ++sent_requests;
+    sent_writes += static_cast<std::uint64_t>(write_count);
     auto reply = co_await client_.call(std::move(method), std::move(target), std::move(body),
                                        timeout, false, std::move(permitted));
     note_reply(reply, write_count);
@@ -138,27 +138,27 @@
 
 void key_value_client::note_reply(const net::reply &reply, double write_count) {
     if (answered_with(reply, http_too_many_requests)) {
-        requests_.drain();
+        request_budget_.drain();
         if (write_count > 0)
             on_too_many_writes();
     } else if (reply.how != net::outcome::answered || reply.status == http_unavailable) {
-        failed_since_ok_ = true;
+        failed_since_reply_ = true;
     } else {
-        last_ok_ = net::steady_now();
-        failed_since_ok_ = false;
+        last_reply_at_ = net::steady_now();
+        failed_since_reply_ = false;
     }
 }
 
 void key_value_client::on_too_many_writes() {
-    if (write_rate_.refused(net::steady_now())) {
+    if (write_rate_.note_refusal(net::steady_now())) {
         spdlog::info("the state service allows {} changes a second now", write_rate_.limit());
         set_rates();
     }
-    writes_.drain();
+    write_budget_.drain();
 }
 
-bool key_value_client::serving(time_point now) const {
-    return !failed_since_ok_ && silence(now) < c::served_within;
+bool key_value_client::is_available(time_point now) const {
+    return !failed_since_reply_ && time_since_last_reply(now) < c::served_within;
 }
 
 awaitable<std::optional<key_lookup>> key_value_client::get(std::string key,
@@ -229,7 +229,7 @@
     co_return parsed([&] { return parse_transaction(reply); }).value_or(result);
 }
 
-awaitable<std::optional<std::uint64_t>> key_value_client::new_lease(seconds ttl) {
+awaitable<std::optional<std::uint64_t>> key_value_client::create_lease(seconds ttl) {
     auto reply =
         co_await call("POST", "/leases", wire::encode_ttl(static_cast<int>(ttl.count() * 1000)),
                       c::state_timeout, request_priority::leadership);
@@ -238,7 +238,7 @@
     co_return parsed([&] { return wire::parse_lease(reply.body); });
 }
 
-awaitable<lease_renewal> key_value_client::renew(std::uint64_t lease) {
+awaitable<lease_renewal> key_value_client::renew_lease(std::uint64_t lease) {
     auto reply = co_await call("POST", fmt::format("/leases/{}/renew", lease), "{}",
                                c::leader_renew, request_priority::leadership);
     if (reply.ok())
@@ -248,7 +248,7 @@
     co_return lease_renewal::unknown;
 }
 
-awaitable<void> key_value_client::end_lease(std::uint64_t lease) {
+awaitable<void> key_value_client::revoke_lease(std::uint64_t lease) {
     co_await call("DELETE", fmt::format("/leases/{}", lease), "", c::state_timeout,
                   request_priority::leadership);
 }
--- a/src/store/key_value_client.hpp
+++ b/src/store/key_value_client.hpp
@@ -78,29 +78,32 @@
                                                       request_priority priority,
                                                       net::permission permitted = {});
     // A new lease. Keys written under it are deleted when it ends.
-    virtual net::awaitable<std::optional<std::uint64_t>> new_lease(seconds ttl);
-    virtual net::awaitable<lease_renewal> renew(std::uint64_t lease);
-    virtual net::awaitable<void> end_lease(std::uint64_t lease);
+    virtual net::awaitable<std::optional<std::uint64_t>> create_lease(seconds ttl);
+    virtual net::awaitable<lease_renewal> renew_lease(std::uint64_t lease);
+    virtual net::awaitable<void> revoke_lease(std::uint64_t lease);
 
     // How long ago the store last answered properly.
-    [[nodiscard]] seconds silence(time_point now) const { return now - last_ok_; }
+    [[nodiscard]] seconds time_since_last_reply(time_point now) const {
+        return now - last_reply_at_;
+    }
     // Whether it serves this node as far as known: it answered of late, and nothing failed since.
-    [[nodiscard]] bool serving(time_point now) const;
+    [[nodiscard]] bool is_available(time_point now) const;
     // The leader may use more of the budget.
-    void leading(bool yes);
+    void set_leading(bool yes);
     // Changes a second that the store allows all controllers together.
     [[nodiscard]] double write_limit() const { return write_rate_.limit(); }
 
-    std::uint64_t requests = 0; // sent so far
-    std::uint64_t writes = 0;   // in these requests
+    std::uint64_t sent_requests = 0; // sent so far
+    std::uint64_t sent_writes = 0;   // in these requests
 
   private:
     // Returns when the budgets have room for one request with so many writes.
-    net::awaitable<void> admit(request_priority priority, double write_count);
+    net::awaitable<void> wait_for_budget(request_priority priority, double write_count);
     // Takes the writes from their budget; returns the priority with which they were let through.
-    net::awaitable<request_priority> admit_write(const write_queue_place &place,
-                                                 request_priority priority, double write_count);
-    net::awaitable<void> admit_request(request_priority priority);
+    net::awaitable<request_priority> wait_for_write_budget(const write_queue_entry &place,
+                                                           request_priority priority,
+                                                           double write_count);
+    net::awaitable<void> wait_for_request_budget(request_priority priority);
     net::awaitable<net::reply> call(std::string method, std::string target, std::string body,
                                     seconds timeout, request_priority priority,
                                     double write_count = 0, net::permission permitted = {});
@@ -110,13 +113,13 @@
 
     net::client client_;
     const settings::settings &settings_;
-    budget requests_, writes_;
-    write_rate write_rate_;
+    token_bucket request_budget_, write_budget_;
+    write_rate_limit write_rate_;
     bool leading_ = false;
     // Shared with those who wait: at the end of the program their coroutines outlive the client.
-    std::shared_ptr<write_queue> queue_ = std::make_shared<write_queue>();
-    time_point last_ok_;
-    bool failed_since_ok_ = false; // refused or without an answer
+    std::shared_ptr<write_queue> write_queue_ = std::make_shared<write_queue>();
+    time_point last_reply_at_;
+    bool failed_since_reply_ = false; // refused or without an answer
 };
 
 } // namespace spindlecroft::store
--- a/src/store/transaction.cpp
+++ b/src/store/transaction.cpp
@@ -4,7 +4,7 @@
 
 namespace spindlecroft::store {
 
-std::uint64_t known_revisions::of(const std::string &key) const {
+std::uint64_t known_revisions::revision_of(const std::string &key) const {
     auto known = revisions_.find(key);
     return known == revisions_.end() ? 0 : known->second;
 }
@@ -25,8 +25,8 @@
         for (auto &condition : unit.conditions)
             expected[condition.key] = condition.version;
         for (auto &change : unit.ops) {
-            if (unit.owned)
-                expected.try_emplace(change.key, revisions.of(change.key));
+            if (unit.owns_keys)
+                expected.try_emplace(change.key, revisions.revision_of(change.key));
             made.ops.push_back(change);
         }
         made.priority = std::min(made.priority, unit.priority);
@@ -37,7 +37,7 @@
     if (fence)
         made.conditions.push_back(*fence);
     made.fence = std::move(fence);
-    made.kept_after_refusal = (batch.size() + 1) / 2;
+    made.units_kept_after_refusal = (batch.size() + 1) / 2;
     return made;
 }
 
--- a/src/store/transaction.hpp
+++ b/src/store/transaction.hpp
@@ -17,7 +17,7 @@
     void set(const std::string &key, std::uint64_t revision) { revisions_[key] = revision; }
     void forget(const std::string &key) { revisions_.erase(key); }
     // 0: the key is not known to exist.
-    [[nodiscard]] std::uint64_t of(const std::string &key) const;
+    [[nodiscard]] std::uint64_t revision_of(const std::string &key) const;
     // The change was committed. Only keys that are written again need their revision kept.
     void note_committed(const txn_op &change, std::uint64_t revision);
 
@@ -30,8 +30,8 @@
     std::vector<txn_op> ops;
     std::optional<txn_condition> fence; // also among the conditions
     request_priority priority = request_priority::background;
-    bool unsure = false;                // a copy of it may have been, or may yet be, executed
-    std::size_t kept_after_refusal = 0; // units, when it has to be split
+    bool outcome_unknown = false;             // a copy of it may have been, or may yet be, executed
+    std::size_t units_kept_after_refusal = 0; // units, when it has to be split
 };
 
 // The transaction that writes all units of the batch, or nothing. With every written key's revision
--- a/src/store/write_queue.cpp
+++ b/src/store/write_queue.cpp
@@ -4,14 +4,14 @@
 
 namespace spindlecroft::store {
 
-bool write_queue::may_go(ticket place, request_priority priority, time_point now) const {
+bool write_queue::may_proceed(ticket place, request_priority priority, time_point now) const {
     if (priority <= request_priority::cancel || waiting_.empty() || waiting_.front() == *place)
         return true;
     return now - waiting_.front() <= constants::write_patience;
 }
 
-request_priority write_queue::priority_of(ticket place, request_priority priority,
-                                          time_point now) const {
+request_priority write_queue::effective_priority(ticket place, request_priority priority,
+                                                 time_point now) const {
     bool waited_long = now - *place > constants::write_patience;
     return waited_long ? std::min(priority, request_priority::cancel) : priority;
 }
--- a/src/store/write_queue.hpp
+++ b/src/store/write_queue.hpp
@@ -17,11 +17,11 @@
     [[nodiscard]] ticket enter(time_point now) { return waiting_.insert(waiting_.end(), now); }
     void leave(ticket place) { waiting_.erase(place); }
     // Whether the write may try to take its tokens now.
-    [[nodiscard]] bool may_go(ticket place, request_priority priority, time_point now) const;
+    [[nodiscard]] bool may_proceed(ticket place, request_priority priority, time_point now) const;
     // The priority with which it takes them: who has waited long takes from the reserve of the more
     // urgent.
-    [[nodiscard]] request_priority priority_of(ticket place, request_priority priority,
-                                               time_point now) const;
+    [[nodiscard]] request_priority effective_priority(ticket place, request_priority priority,
+                                                      time_point now) const;
 
   private:
     std::list<time_point> waiting_; // since when; the longest first
@@ -30,19 +30,20 @@
 // Holds a place in a queue and leaves it at the end of its life, also when the coroutine that waits
 // is destroyed. Shares the queue, since at the end of the program such coroutines outlive its
 // owner.
-class write_queue_place {
+class write_queue_entry {
   public:
-    write_queue_place(std::shared_ptr<write_queue> queue, time_point now)
+    write_queue_entry(std::shared_ptr<write_queue> queue, time_point now)
         : queue_(std::move(queue)), ticket_(queue_->enter(now)) {}
-    ~write_queue_place() { queue_->leave(ticket_); }
-    write_queue_place(const write_queue_place &) = delete;
-    write_queue_place &operator=(const write_queue_place &) = delete;
+    ~write_queue_entry() { queue_->leave(ticket_); }
+    write_queue_entry(const write_queue_entry &) = delete;
+    write_queue_entry &operator=(const write_queue_entry &) = delete;
 
-    [[nodiscard]] bool may_go(request_priority priority, time_point now) const {
-        return queue_->may_go(ticket_, priority, now);
+    [[nodiscard]] bool may_proceed(request_priority priority, time_point now) const {
+        return queue_->may_proceed(ticket_, priority, now);
     }
-    [[nodiscard]] request_priority priority_of(request_priority priority, time_point now) const {
-        return queue_->priority_of(ticket_, priority, now);
+    [[nodiscard]] request_priority effective_priority(request_priority priority,
+                                                      time_point now) const {
+        return queue_->effective_priority(ticket_, priority, now);
     }
 
   private:
--- a/src/store/write_rate.cpp
+++ b/src/store/write_rate.cpp
@@ -6,7 +6,7 @@
 namespace c = constants;
 
 // A single refusal may come of controllers that were busy in the same second.
-bool write_rate::refused(time_point now) {
+bool write_rate_limit::note_refusal(time_point now) {
     if (!next_)
         return false;
     if (!window_began_ || now - *window_began_ > c::refusal_window) {
--- a/src/store/write_rate.hpp
+++ b/src/store/write_rate.hpp
@@ -6,14 +6,14 @@
 
 namespace spindlecroft::store {
 
-class write_rate {
+class write_rate_limit {
   public:
     // next: a smaller limit that comes without notice; nothing: none does.
-    write_rate(double present, std::optional<double> next) : limit_(present), next_(next) {}
+    write_rate_limit(double present, std::optional<double> next) : limit_(present), next_(next) {}
     double limit() const { return limit_; }
     // The service refused a change because there were too many. True: the limit is smaller now, for
     // good.
-    bool refused(time_point now);
+    bool note_refusal(time_point now);
 
   private:
     double limit_;
--- a/src/store/write_unit.hpp
+++ b/src/store/write_unit.hpp
@@ -12,9 +12,9 @@
 
 enum class write_outcome {
     committed,
-    conflict,  // one of its conditions, or the revision of an owned key, did not hold
-    lost,      // not known to be written: given up, not permitted any more, or stopped
-    too_large, // for the key-value store, however it is split
+    conflict,    // one of its conditions, or the revision of an owned key, did not hold
+    unconfirmed, // not known to be written: given up, not permitted any more, or stopped
+    too_large,   // for the key-value store, however it is split
 };
 
 // Units that are written close together share a transaction.
@@ -24,8 +24,8 @@
     request_priority priority = request_priority::background;
     // Nobody else writes the keys that have no condition here: the committer knows their revisions
     // and makes them conditions of the transaction.
-    bool owned = false;
-    std::optional<time_point> give_up_at; // not sent any more from then on
+    bool owns_keys = false;
+    std::optional<time_point> deadline; // not sent any more from then on
     // Called once with what became of the unit; the revision is that of the commit, or 0.
     std::function<void(write_outcome, std::uint64_t revision)> on_outcome;
     // Called once the unit is durable, before whoever waits for it is told.
--- a/src/workers/proven_gone.cpp
+++ b/src/workers/proven_gone.cpp
@@ -25,7 +25,7 @@
         attempt.sent_incarnation == machine.incarnation && machine.sequence > attempt.sent_sequence;
     if (!answer_dropped)
         return verdict::still_possible;
-    if (attempt.stop_wanted || !machine.usable())
+    if (attempt.stop_requested || !machine.usable())
         return verdict::gone;
     return verdict::send_again;
 }
--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -26,12 +26,12 @@
     j.spec.tasks = 100'000;
     j.done.assign(100'000, false);
     j.done[0] = true;
-    EXPECT_EQ(j.waiting(), 100'000u);
+    EXPECT_EQ(j.waiting_tasks(), 100'000u);
     std::uint32_t i = 0;
-    ASSERT_TRUE(j.pop_waiting(i));
+    ASSERT_TRUE(j.pop_waiting_task(i));
     EXPECT_EQ(i, 1u);
-    j.push_back(1);
-    EXPECT_EQ(j.again.size(), 1u);
-    ASSERT_TRUE(j.pop_waiting(i));
+    j.requeue_task(1);
+    EXPECT_EQ(j.requeued.size(), 1u);
+    ASSERT_TRUE(j.pop_waiting_task(i));
     EXPECT_EQ(i, 1u);
 }
--- a/tests/commit_budget_test.cpp
+++ b/tests/commit_budget_test.cpp
@@ -9,30 +9,30 @@
 using test::at;
 
 TEST(budget, leaves_a_reserve_to_the_more_urgent) {
-    store::budget b(10);
+    store::token_bucket b(10);
     time_point now{};
     int rest = 0, accept = 0;
-    while (b.take(1, store::request_priority::background, now))
+    while (b.try_take(1, store::request_priority::background, now))
         ++rest;
-    while (b.take(1, store::request_priority::accept, now))
+    while (b.try_take(1, store::request_priority::user_request, now))
         ++accept;
     EXPECT_LT(rest, 8);
     EXPECT_GT(accept, 0);
-    EXPECT_FALSE(b.take(1, store::request_priority::accept, now));
-    EXPECT_TRUE(b.take(1, store::request_priority::accept, now + 1s));
+    EXPECT_FALSE(b.try_take(1, store::request_priority::user_request, now));
+    EXPECT_TRUE(b.try_take(1, store::request_priority::user_request, now + 1s));
 }
 
 // Single submissions came as fast as the budget refilled, and a transaction of eight changes, less
 // urgent, never found its whole size at once: no task was started for a minute.
 TEST(budget, starves_no_large_transaction) {
-    store::budget b(14);
+    store::token_bucket b(14);
     int large = 0;
     double taken = 0;
     for (int ms = 0; ms < 60'000; ms += 20) {
         auto now = at(ms / 1000.0);
-        if (ms % 80 == 0 && b.take(1, store::request_priority::accept, now))
+        if (ms % 80 == 0 && b.try_take(1, store::request_priority::user_request, now))
             taken += 1;
-        if (b.take(8, store::request_priority::placement, now)) {
+        if (b.try_take(8, store::request_priority::placement, now)) {
             taken += 8;
             ++large;
         }
@@ -46,17 +46,17 @@
 TEST(budget, the_more_urgent_do_not_pass_who_waited_long) {
     store::write_queue line;
     auto rental_request = line.enter(at(10.0)), submission = line.enter(at(10.2));
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, at(10.3)));
-    EXPECT_FALSE(line.may_go(submission, store::request_priority::accept, at(10.5)));
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::cancel, at(10.5)))
+    EXPECT_TRUE(line.may_proceed(submission, store::request_priority::user_request, at(10.3)));
+    EXPECT_FALSE(line.may_proceed(submission, store::request_priority::user_request, at(10.5)));
+    EXPECT_TRUE(line.may_proceed(submission, store::request_priority::cancel, at(10.5)))
         << "a cancel waits for none";
-    EXPECT_TRUE(line.may_go(rental_request, store::request_priority::placement, at(10.5)));
-    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, at(10.3)),
+    EXPECT_TRUE(line.may_proceed(rental_request, store::request_priority::placement, at(10.5)));
+    EXPECT_EQ(line.effective_priority(rental_request, store::request_priority::placement, at(10.3)),
               store::request_priority::placement);
-    EXPECT_EQ(line.priority_of(rental_request, store::request_priority::placement, at(10.5)),
+    EXPECT_EQ(line.effective_priority(rental_request, store::request_priority::placement, at(10.5)),
               store::request_priority::cancel);
     line.leave(rental_request);
-    EXPECT_TRUE(line.may_go(submission, store::request_priority::accept, at(10.5)));
+    EXPECT_TRUE(line.may_proceed(submission, store::request_priority::user_request, at(10.5)));
 }
 
 TEST(group_commit, leaves_out_what_nobody_waits_for) {
@@ -81,8 +81,8 @@
     };
     add(store::request_priority::background, {"a", "b"});
     add(store::request_priority::cancel, {"c"});
-    add(store::request_priority::done, {"c"});
-    add(store::request_priority::done, {"d", "e"});
+    add(store::request_priority::job_end, {"c"});
+    add(store::request_priority::job_end, {"d", "e"});
     auto chosen = store::choose_units(waiting, 4, 10000);
     EXPECT_EQ(chosen, (std::vector<std::size_t>{1, 3})) << "c twice never; a and b do not fit";
 }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -8,7 +8,7 @@
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using catalog::dependency_graph;
-using catalog::standing;
+using catalog::dependency_status;
 using test::at;
 
 namespace {
@@ -34,14 +34,14 @@
 
 TEST(dependency_graph, a_job_is_ready_once_every_predecessor_is_done) {
     auto graph = diamond();
-    EXPECT_EQ(graph.of("tally"), standing::waiting);
+    EXPECT_EQ(graph.status_of("tally"), dependency_status::waiting);
     EXPECT_EQ(sorted(graph.note_end("harvest", done).ready),
               (std::vector<std::string>{"draft", "tally"}));
     EXPECT_TRUE(graph.note_end("tally", {job_state::done, at(20)}).ready.empty());
-    EXPECT_EQ(graph.of("publish"), standing::waiting);
+    EXPECT_EQ(graph.status_of("publish"), dependency_status::waiting);
     EXPECT_EQ(graph.note_end("draft", {job_state::done, at(15)}).ready,
               std::vector<std::string>{"publish"});
-    EXPECT_EQ(graph.of("publish"), standing::ready);
+    EXPECT_EQ(graph.status_of("publish"), dependency_status::ready);
     EXPECT_EQ(graph.find("publish")->ready_at, at(20));
 }
 
@@ -49,7 +49,7 @@
     auto graph = diamond();
     graph.note_end("tally", done);
     EXPECT_TRUE(graph.note_end("tally", done).ready.empty());
-    EXPECT_EQ(graph.of("publish"), standing::waiting);
+    EXPECT_EQ(graph.status_of("publish"), dependency_status::waiting);
 }
 
 TEST(dependency_graph, a_cancel_reaches_all_dependents_once) {
@@ -57,13 +57,13 @@
     EXPECT_EQ(sorted(graph.note_end("harvest", cancelled).cancelled),
               (std::vector<std::string>{"draft", "publish", "tally"}));
     EXPECT_TRUE(graph.note_end("tally", cancelled).cancelled.empty());
-    EXPECT_EQ(graph.of("publish"), standing::cancelled);
+    EXPECT_EQ(graph.status_of("publish"), dependency_status::cancelled);
 }
 
 TEST(dependency_graph, a_cancelled_dependent_leaves_its_predecessors_alone) {
     auto graph = diamond();
     EXPECT_EQ(graph.note_end("draft", cancelled).cancelled, std::vector<std::string>{"publish"});
-    EXPECT_EQ(graph.of("tally"), standing::waiting);
+    EXPECT_EQ(graph.status_of("tally"), dependency_status::waiting);
     EXPECT_EQ(graph.note_end("harvest", done).ready.size(), 2u);
 }
 
@@ -71,10 +71,10 @@
     auto graph = diamond();
     graph.note_end("harvest", cancelled);
     graph.add("late", {"publish"});
-    EXPECT_EQ(graph.of("late"), standing::cancelled);
+    EXPECT_EQ(graph.status_of("late"), dependency_status::cancelled);
     graph.remove("publish");
     graph.add("later", {"late"});
-    EXPECT_EQ(graph.of("later"), standing::cancelled);
+    EXPECT_EQ(graph.status_of("later"), dependency_status::cancelled);
 }
 
 // Whatever the order in which the records are read, the answer is the same.
@@ -98,8 +98,8 @@
         dependency_graph graph;
         for (auto i : order)
             steps[i](graph);
-        EXPECT_EQ(graph.of("d"), standing::cancelled);
-        EXPECT_EQ(graph.of("b"), standing::cancelled);
+        EXPECT_EQ(graph.status_of("d"), dependency_status::cancelled);
+        EXPECT_EQ(graph.status_of("b"), dependency_status::cancelled);
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
--- a/tests/ended_job_memory_test.cpp
+++ b/tests/ended_job_memory_test.cpp
@@ -5,7 +5,7 @@
 using namespace spindlecroft;
 
 TEST(ended_job_memory, keeps_the_first_record_and_drops_the_oldest_job) {
-    catalog::ended_job_memory memory(2);
+    catalog::ended_job_cache memory(2);
     memory.add("job-1", {job_state::done, 1, {}});
     memory.add("job-1", {job_state::cancelled, 0, {}});
     ASSERT_TRUE(memory.find("job-1"));
@@ -18,7 +18,7 @@
 }
 
 TEST(absent_job_memory, forgets_what_was_submitted_and_the_oldest) {
-    catalog::absent_job_memory memory(2);
+    catalog::absent_job_cache memory(2);
     memory.add("job-1");
     memory.add("job-2");
     memory.remove("job-2");
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -112,7 +112,7 @@
     state.stand_still = [&] { leading = false; };
     std::vector<store::write_outcome> told;
     store::write_unit u;
-    u.owned = true;
+    u.owns_keys = true;
     u.ops = {{"p/1", "[1]", 0}};
     u.on_outcome = [&](store::write_outcome how, std::uint64_t) { told.push_back(how); };
     commits.submit(std::move(u));
@@ -121,7 +121,7 @@
     while (told.empty() && net::steady_now() < limit)
         io.run_one_for(50ms);
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0], store::write_outcome::lost);
+    EXPECT_EQ(told[0], store::write_outcome::unconfirmed);
     EXPECT_EQ(state.commits, 0u);
     commits.stop();
     io.run_for(100ms);
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace spindlecroft;
 using namespace std::chrono_literals;
-using catalog::standing;
+using catalog::dependency_status;
 using test::wall_at;
 
 namespace {
@@ -42,7 +42,7 @@
     }
     void load() {
         net::spawn(io, cache.run_watch(), "watch");
-        for (int i = 0; i < 100 && !cache.loaded(); ++i)
+        for (int i = 0; i < 100 && !cache.is_loaded(); ++i)
             run(10ms);
     }
     caching() = default;
@@ -66,7 +66,7 @@
     c.put_job("job-4", {"job-3"});
     c.load();
     for (auto *id : {"job-1", "job-3", "job-4"})
-        EXPECT_EQ(c.cache.dependencies().of(id), standing::cancelled) << id;
+        EXPECT_EQ(c.cache.dependencies().status_of(id), dependency_status::cancelled) << id;
 }
 
 TEST(job_cache, reads_the_ends_that_it_missed) {
@@ -77,11 +77,11 @@
     c.put_job("job-4", {"job-1", "job-2"});
     c.put_job("job-5", {"job-4"});
     c.load();
-    EXPECT_EQ(c.cache.dependencies().of("job-3"), standing::waiting);
+    EXPECT_EQ(c.cache.dependencies().status_of("job-3"), dependency_status::waiting);
     ASSERT_TRUE(c.resolve("job-3"));
-    EXPECT_EQ(c.cache.dependencies().of("job-3"), standing::ready);
+    EXPECT_EQ(c.cache.dependencies().status_of("job-3"), dependency_status::ready);
     ASSERT_TRUE(c.resolve("job-5"));
-    EXPECT_EQ(c.cache.dependencies().of("job-5"), standing::cancelled);
+    EXPECT_EQ(c.cache.dependencies().status_of("job-5"), dependency_status::cancelled);
 }
 
 TEST(job_cache, an_end_that_cannot_be_read_resolves_nothing) {
--- a/tests/key_value_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -117,7 +117,7 @@
         co_return a;
     }
 
-    net::awaitable<std::optional<std::uint64_t>> new_lease(seconds) override {
+    net::awaitable<std::optional<std::uint64_t>> create_lease(seconds) override {
         co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
@@ -125,14 +125,14 @@
         co_return lease_count;
     }
 
-    net::awaitable<store::lease_renewal> renew(std::uint64_t lease) override {
+    net::awaitable<store::lease_renewal> renew_lease(std::uint64_t lease) override {
         co_await net::sleep_for(1ms);
         if (outage)
             co_return store::lease_renewal::unknown;
         co_return leases[lease] ? store::lease_renewal::renewed : store::lease_renewal::ended;
     }
 
-    net::awaitable<void> end_lease(std::uint64_t lease) override {
+    net::awaitable<void> revoke_lease(std::uint64_t lease) override {
         co_await net::sleep_for(1ms);
         expire(lease);
     }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -39,7 +39,7 @@
     committing() { net::spawn(io, commits.run(), "commits"); }
     void write(const std::string &key, std::size_t bytes) {
         store::write_unit u;
-        u.owned = true;
+        u.owns_keys = true;
         u.ops = {{key, fmt::format("\"{}\"", std::string(bytes, 'x')), 0}};
         u.on_outcome = [this, key](write_outcome how, std::uint64_t) { told[key] = how; };
         commits.submit(std::move(u));
@@ -89,18 +89,18 @@
 }
 
 TEST(limits, the_smaller_rate_holds_for_good_once_it_shows) {
-    store::write_rate rate(20, 15);
-    EXPECT_FALSE(rate.refused(at(0))) << "one refusal may have other reasons";
-    EXPECT_FALSE(rate.refused(at(30)));
-    EXPECT_FALSE(rate.refused(at(31)));
+    store::write_rate_limit rate(20, 15);
+    EXPECT_FALSE(rate.note_refusal(at(0))) << "one refusal may have other reasons";
+    EXPECT_FALSE(rate.note_refusal(at(30)));
+    EXPECT_FALSE(rate.note_refusal(at(31)));
     EXPECT_EQ(rate.limit(), 20);
-    EXPECT_TRUE(rate.refused(at(32)));
+    EXPECT_TRUE(rate.note_refusal(at(32)));
     EXPECT_EQ(rate.limit(), 15);
-    EXPECT_FALSE(rate.refused(at(33)));
+    EXPECT_FALSE(rate.note_refusal(at(33)));
     EXPECT_EQ(rate.limit(), 15);
-    store::write_rate steady(20, {});
+    store::write_rate_limit steady(20, {});
     for (int i = 0; i < 50; ++i)
-        EXPECT_FALSE(steady.refused(at(i * 0.1)));
+        EXPECT_FALSE(steady.note_refusal(at(i * 0.1)));
     EXPECT_EQ(steady.limit(), 20);
 }
 
@@ -160,7 +160,7 @@
                 EXPECT_LE(o.value.size(), record_limit(conf)) << o.key;
                 EXPECT_NE(o.key, "d/4-1");
             }
-            if (w.kind == control::write_kind::done)
+            if (w.kind == control::write_kind::done_tasks)
                 for (auto &part : wire::parse_done(w.ops.front().value))
                     if (part.bits.at(9)) {
                         EXPECT_TRUE(part.bits.at(7)) << "what was done before is there too";
@@ -207,7 +207,8 @@
         for (auto &w : core.take_writes(now)) {
             ++writes;
             EXPECT_LE(w.ops.size(), static_cast<std::size_t>(conf.txn_ops));
-            EXPECT_LE(w.when.size() + w.ops.size() + 1, 4 * static_cast<std::size_t>(conf.txn_ops));
+            EXPECT_LE(w.conditions.size() + w.ops.size() + 1,
+                      4 * static_cast<std::size_t>(conf.txn_ops));
             for (auto &o : w.ops)
                 EXPECT_LE(o.value.size(), record_limit(conf)) << o.key;
             core.on_written(w, true, now);
@@ -268,7 +269,7 @@
     EXPECT_EQ(core.machines().size(), static_cast<std::size_t>(machines));
     EXPECT_EQ(deleted, 0u);
     EXPECT_EQ(started, 0u) << "every machine is full";
-    EXPECT_EQ(core.find_job("job-1")->running(), static_cast<std::uint32_t>(machines));
+    EXPECT_EQ(core.find_job("job-1")->running_tasks(), static_cast<std::uint32_t>(machines));
     int rented = 0;
     for (int round = 0; round < 20; ++round, now += 2s) {
         core.tick(now);
@@ -301,9 +302,10 @@
     core.tick(at(2));
     std::vector<control::durable_write> placements;
     for (auto &w : core.take_writes(at(2)))
-        if (w.kind == control::write_kind::placed)
+        if (w.kind == control::write_kind::placements)
             placements.push_back(w);
     ASSERT_EQ(placements.size(), 1u);
-    EXPECT_EQ(placements.front().when.size(), 14u) << "with the fence and the record 16 conditions";
-    EXPECT_EQ(placements.front().attempts.size(), 42u);
+    EXPECT_EQ(placements.front().conditions.size(), 14u)
+        << "with the fence and the record 16 conditions";
+    EXPECT_EQ(placements.front().placed_attempts.size(), 42u);
 }
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -57,12 +57,12 @@
     catalog::attempt &run_next_task(catalog::job &job, const std::string &machine,
                                     time_point created_at = at(10)) {
         catalog::attempt attempt;
-        EXPECT_TRUE(job.pop_waiting(attempt.task.index));
+        EXPECT_TRUE(job.pop_waiting_task(attempt.task.index));
         attempt.task.job = job.spec.id;
         attempt.machine = machine;
         attempt.phase = catalog::attempt_phase::running;
         attempt.created_at = created_at;
-        attempt.estimate = job.spec.estimate;
+        attempt.expected_run_time = job.spec.estimate;
         return state.add_attempt(job, attempt);
     }
     planning::bid_round begin_round() {
@@ -136,7 +136,7 @@
     spec.tasks = 2;
     spec.spread = true;
     auto &job = all.add_job(spec);
-    job.queued[1] = "i-1";
+    job.queued_on[1] = "i-1";
     EXPECT_EQ(zones_for(job), zones{"b"});
 }
 
@@ -145,7 +145,7 @@
     spec.tasks = 2;
     spec.spread = true;
     auto &job = all.add_job(spec);
-    job.queued[1] = "i-gone";
+    job.queued_on[1] = "i-gone";
     EXPECT_EQ(zones_for(job), zones{});
 }
 
@@ -214,9 +214,9 @@
     auto *machine = all.preemption.preempt_for_guarantee(job, round.bidders(), now);
     ASSERT_NE(machine, nullptr);
     EXPECT_EQ(machine->m->name, "i-2");
-    EXPECT_TRUE(later.stop_wanted);
-    EXPECT_FALSE(earlier.stop_wanted);
-    EXPECT_FALSE(green.stop_wanted);
+    EXPECT_TRUE(later.stop_requested);
+    EXPECT_FALSE(earlier.stop_requested);
+    EXPECT_FALSE(green.stop_requested);
     EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
 }
 
@@ -259,13 +259,13 @@
     auto &job = all.add_job("job-1", "blue", 2);
     for (std::uint32_t i = 0; i < 2; ++i) {
         std::uint32_t index = 0;
-        ASSERT_TRUE(job.pop_waiting(index));
+        ASSERT_TRUE(job.pop_waiting_task(index));
         machine.queue.push_back({{"job-1", index}, priority_class::normal, 30s});
-        job.queued[index] = "i-1";
+        job.queued_on[index] = "i-1";
     }
     starter.start_all(now);
     EXPECT_EQ(created, (std::vector<catalog::task_ref>{{"job-1", 0}}));
-    EXPECT_EQ(job.live.size(), 1u);
+    EXPECT_EQ(job.current_attempts.size(), 1u);
     EXPECT_EQ(machine.queue.size(), 1u);
 }
 
@@ -278,13 +278,13 @@
     spec.priority = priority_class::critical;
     auto &urgent = all.add_job(spec);
     std::uint32_t index = 0;
-    ASSERT_TRUE(urgent.pop_waiting(index));
+    ASSERT_TRUE(urgent.pop_waiting_task(index));
     machine.queue.push_back({{"urgent", index}, priority_class::critical, 30s});
-    urgent.queued[index] = "i-1";
+    urgent.queued_on[index] = "i-1";
     starter.start_all(now);
     EXPECT_EQ(created, (std::vector<catalog::task_ref>{{"urgent", 0}}));
-    EXPECT_FALSE(lower.live.at(2).stop_wanted);
-    EXPECT_TRUE(lower.live.at(3).stop_wanted);
+    EXPECT_FALSE(lower.current_attempts.at(2).stop_requested);
+    EXPECT_TRUE(lower.current_attempts.at(3).stop_requested);
     EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
 }
 
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -35,8 +35,8 @@
         core.on_heartbeat({name, "10.0.0.1:9000", "large", "a", false, 1, sequence, 5, {}, {}},
                           at(1));
     }
-    std::size_t queued() const { return core.find_job("job-1")->queued.size(); }
-    std::size_t placed() const { return core.find_job("job-1")->live.size(); }
+    std::size_t queued() const { return core.find_job("job-1")->queued_on.size(); }
+    std::size_t placed() const { return core.find_job("job-1")->current_attempts.size(); }
 };
 
 } // namespace
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -92,7 +92,7 @@
         placed.number = 11;
         placed.machine = "i-1";
         placed.phase = attempt_phase::committed;
-        job().next_fresh = 1;
+        job().next_unplaced = 1;
         return state.add_attempt(job(), placed);
     }
     catalog::job &job() { return *state.find_job("job-1"); }
@@ -121,9 +121,9 @@
 }
 
 TEST_F(proven_gone, a_dropped_start_that_nobody_wants_any_more_is_gone) {
-    attempt.stop_wanted = true;
+    attempt.stop_requested = true;
     EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
-    attempt.stop_wanted = false;
+    attempt.stop_requested = false;
     machine.deleting = true;
     EXPECT_EQ(judged(evidence::missing_from_heartbeat), verdict::gone);
 }
@@ -217,16 +217,16 @@
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].kind, command_kind::start);
     receive(heartbeat_of(2), at(3));
-    EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
+    EXPECT_EQ(job().current_attempts.at(0).phase, attempt_phase::sent);
     commands.unresolved("i-1", present_token, 1);
     receive(heartbeat_of(3), at(4));
-    EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
+    EXPECT_EQ(job().current_attempts.at(0).phase, attempt_phase::sent);
     // Once the worker has seen a higher token, the command can't arrive any more.
     state.raise_token(present_token + 1);
     auto raised = heartbeat_of(4);
     raised.token = present_token + 1;
     receive(raised, at(5));
-    EXPECT_EQ(job().live.at(0).phase, attempt_phase::committed);
+    EXPECT_EQ(job().current_attempts.at(0).phase, attempt_phase::committed);
 }
 
 TEST_F(reconciliation_parts, an_unresolved_direct_command_asks_for_a_higher_token) {
@@ -244,8 +244,8 @@
 
 TEST_F(reconciliation_parts, a_task_that_runs_unknown_is_adopted_and_stopped) {
     receive(heartbeat_of(1, {listed(task_state::running)}), at(1));
-    ASSERT_TRUE(job().live.contains(0));
-    EXPECT_TRUE(job().live.at(0).stop_wanted);
+    ASSERT_TRUE(job().current_attempts.contains(0));
+    EXPECT_TRUE(job().current_attempts.at(0).stop_requested);
     auto answer = commands.for_answer("i-1", start_permission::granted, at(1));
     ASSERT_EQ(answer.size(), 1u);
     EXPECT_EQ(answer[0].kind, command_kind::stop);
@@ -312,10 +312,10 @@
     place().phase = attempt_phase::running;
     auto end = machine().lease_bound;
     leases.release_expired(end);
-    EXPECT_TRUE(job().live.contains(0));
+    EXPECT_TRUE(job().current_attempts.contains(0));
     leases.release_expired(end + 1ms);
-    EXPECT_FALSE(job().live.contains(0));
-    EXPECT_TRUE(job().again.contains(0));
+    EXPECT_FALSE(job().current_attempts.contains(0));
+    EXPECT_TRUE(job().requeued.contains(0));
 }
 
 TEST_F(reconciliation_parts, a_cancelled_task_is_pressed_and_then_its_machine_deleted) {
@@ -332,11 +332,11 @@
 
 TEST_F(reconciliation_parts, a_machine_where_a_working_job_fails_is_quarantined) {
     receive(heartbeat_of(1), at(1));
-    job().done_seen = 1;
+    job().reported_done_count = 1;
     place();
     receive(heartbeat_of(2, {listed(task_state::exited, exit_cause::error)}), at(2));
     EXPECT_TRUE(machine().quarantined);
-    EXPECT_FALSE(job().live.contains(0));
+    EXPECT_FALSE(job().current_attempts.contains(0));
 }
 
 TEST_F(reconciliation_parts, a_suspect_job_is_retried_one_task_at_a_time) {
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -34,7 +34,7 @@
         catalog::job added;
         added.spec = test::small_job(id);
         added.spec.tasks = tasks;
-        added.version = 1;
+        added.record_revision = 1;
         added.done.assign(tasks, false);
         added.done_durable.assign(tasks, false);
         return state.add_job(id, std::move(added));
@@ -74,7 +74,7 @@
 
 void see_done(records::done_records &part, catalog::job &job, std::uint32_t index, time_point now) {
     job.done[index] = true;
-    ++job.done_seen;
+    ++job.reported_done_count;
     part.note_done(job, index, now);
 }
 
@@ -90,12 +90,12 @@
         cluster.add_unplaced(placements, fmt::format("job-{}", number));
     auto writes = writes_of(placements, at(1));
     ASSERT_EQ(writes.size(), 1u);
-    EXPECT_EQ(writes.front().when.size(), 14u);
-    EXPECT_EQ(writes.front().attempts.size(), 14u);
+    EXPECT_EQ(writes.front().conditions.size(), 14u);
+    EXPECT_EQ(writes.front().placed_attempts.size(), 14u);
     placements.on_written(writes.front(), true, at(1));
     writes = writes_of(placements, at(100));
     ASSERT_EQ(writes.size(), 1u);
-    EXPECT_EQ(writes.front().attempts.size(), 6u);
+    EXPECT_EQ(writes.front().placed_attempts.size(), 6u);
     EXPECT_EQ(wire::parse_placed(writes.front().ops.front().value).size(), 20u)
         << "the record still names the first 14";
 }
@@ -133,7 +133,7 @@
     ASSERT_EQ(writes.size(), 1u);
     placements.on_written(writes.front(), false, at(2));
     EXPECT_EQ(cluster.state.find_attempt({"job", 0}), nullptr);
-    EXPECT_EQ(cluster.state.find_job("job")->write_after, at(2) + constants::state_retry);
+    EXPECT_EQ(cluster.state.find_job("job")->next_write_at, at(2) + constants::state_retry);
 }
 
 TEST(placement_records, services_and_arrays_do_not_share_records) {
@@ -145,9 +145,9 @@
     cluster.add_unplaced(placements, "array");
     auto writes = writes_of(placements, at(1));
     ASSERT_EQ(writes.size(), 2u);
-    EXPECT_EQ(writes[0].attempts.front().task.job, "array") << "arrays go first";
-    EXPECT_EQ(writes[1].attempts.front().task.job, "service");
-    EXPECT_NE(writes[0].record, writes[1].record);
+    EXPECT_EQ(writes[0].placed_attempts.front().task.job, "array") << "arrays go first";
+    EXPECT_EQ(writes[1].placed_attempts.front().task.job, "service");
+    EXPECT_NE(writes[0].record_name, writes[1].record_name);
 }
 
 // --- done tasks ---
@@ -163,9 +163,9 @@
     ASSERT_EQ(parts.size(), 1u);
     EXPECT_EQ(parts.front().bits, (std::vector<bool>{false, true, false, false}))
         << "whole hexadecimal digits";
-    EXPECT_EQ(job.done_count, 0u);
+    EXPECT_EQ(job.durable_done_count, 0u);
     done.on_written(writes.front(), true, at(10));
-    EXPECT_EQ(job.done_count, 1u);
+    EXPECT_EQ(job.durable_done_count, 1u);
     EXPECT_TRUE(job.done_durable[1]);
 }
 
@@ -176,13 +176,13 @@
     cluster.settings.value_kb = 0; // no record fits any more
     records::done_records done(cluster.settings, cluster.state);
     done.load("3-1", {{"job", 0, {true, false, false}}});
-    ASSERT_EQ(job.done_in[0], "3-1");
+    ASSERT_EQ(job.done_record_of_part[0], "3-1");
     cluster.settings.value_kb = limit;
     see_done(done, job, 1, at(1));
-    EXPECT_EQ(job.done_in[0], "7-1");
+    EXPECT_EQ(job.done_record_of_part[0], "7-1");
     auto writes = done_writes(done, at(1) + constants::done_gap);
     ASSERT_EQ(writes.size(), 1u);
-    EXPECT_EQ(writes.front().record, "7-1");
+    EXPECT_EQ(writes.front().record_name, "7-1");
 }
 
 TEST(done_records, a_refused_write_is_repeated_after_a_pause) {
@@ -205,7 +205,7 @@
     records::job_ends ends(cluster.state);
     auto &job = cluster.add_job("job", 1);
     job.done[0] = true;
-    job.done_seen = 1;
+    job.reported_done_count = 1;
     auto &attempt = cluster.add_attempt(job, 0, attempt_phase::running);
     EXPECT_TRUE(writes_of(ends, at(1)).empty());
     attempt.phase = attempt_phase::exited;
--- a/tests/simulated_store.cpp
+++ b/tests/simulated_store.cpp
@@ -7,7 +7,7 @@
 bool simulation::apply(const transaction &t) {
     if (t.fence != leader_token)
         return false;
-    for (auto &c : t.write.when) {
+    for (auto &c : t.write.conditions) {
         auto j = jobs.find(c.key.substr(4));
         if (j == jobs.end() || j->second.version != c.version)
             return false;
--- a/tests/simulation_rules.cpp
+++ b/tests/simulation_rules.cpp
@@ -146,9 +146,9 @@
     if (!j)
         return id + " unknown to the leader";
     auto out = fmt::format("{} cancelled {} waiting {} queued {} done {} of {}; {}", id,
-                           j->cancelled, j->waiting(), j->queued.size(), j->done_seen,
-                           j->spec.tasks, scheduler->summary());
-    for (auto &[i, a] : j->live)
+                           j->cancelled, j->waiting_tasks(), j->queued_on.size(),
+                           j->reported_done_count, j->spec.tasks, scheduler->summary());
+    for (auto &[i, a] : j->current_attempts)
         out += fmt::format("; {} on {} phase {}", i, a.machine, static_cast<int>(a.phase));
     for (auto &[n, m] : scheduler->machines())
         out +=
--- a/tests/store_batch_test.cpp
+++ b/tests/store_batch_test.cpp
@@ -24,7 +24,7 @@
 
     store::write_unit owned(const std::string &key, request_priority priority) {
         store::write_unit unit;
-        unit.owned = true;
+        unit.owns_keys = true;
         unit.priority = priority;
         unit.ops = {{key, "1", 0}};
         unit.on_outcome = [this, key](write_outcome outcome, std::uint64_t revision) {
@@ -33,8 +33,8 @@
         return unit;
     }
     store::write_unit conditional(const std::string &key, std::uint64_t revision) {
-        auto unit = owned(key, request_priority::accept);
-        unit.owned = false;
+        auto unit = owned(key, request_priority::user_request);
+        unit.owns_keys = false;
         unit.conditions = {{key, revision}};
         return unit;
     }
@@ -73,24 +73,24 @@
 
 TEST(write_batch, drops_only_what_was_given_up) {
     units make;
-    store::write_batch batch{make.owned("late", request_priority::accept),
-                             make.owned("in time", request_priority::accept),
-                             make.owned("patient", request_priority::accept)};
-    batch[0].give_up_at = at(5);
-    batch[1].give_up_at = at(6);
-    store::drop_given_up(batch, at(5));
+    store::write_batch batch{make.owned("late", request_priority::user_request),
+                             make.owned("in time", request_priority::user_request),
+                             make.owned("patient", request_priority::user_request)};
+    batch[0].deadline = at(5);
+    batch[1].deadline = at(6);
+    store::drop_expired(batch, at(5));
     EXPECT_EQ(keys_of(batch), (key_list{"in time", "patient"}));
-    EXPECT_EQ(make.told, (std::vector<told_outcome>{{"late", write_outcome::lost, 0}}));
+    EXPECT_EQ(make.told, (std::vector<told_outcome>{{"late", write_outcome::unconfirmed, 0}}));
 }
 
 TEST(write_batch, is_split_after_a_refusal_with_the_more_urgent_first) {
     units make;
-    std::deque<store::write_unit> waiting{make.owned("next", request_priority::accept)};
+    std::deque<store::write_unit> waiting{make.owned("next", request_priority::user_request)};
     store::write_batch batch{make.owned("rental", request_priority::placement),
                              make.owned("cancel", request_priority::cancel),
                              make.owned("start", request_priority::placement)};
     store::sort_by_priority(batch);
-    store::put_back_after(1, batch, waiting);
+    store::requeue_after(1, batch, waiting);
     EXPECT_EQ(keys_of(batch), (key_list{"cancel"}));
     EXPECT_EQ(keys_of(waiting), (key_list{"rental", "start", "next"}));
     EXPECT_TRUE(make.told.empty());
@@ -98,10 +98,10 @@
 
 TEST(write_batch, gives_up_the_units_whose_conditions_failed) {
     units make;
-    auto not_owned = make.owned("d", request_priority::accept);
-    not_owned.owned = false;
+    auto not_owned = make.owned("d", request_priority::user_request);
+    not_owned.owns_keys = false;
     store::write_batch batch{make.conditional("a", 3), make.conditional("b", 4),
-                             make.owned("c", request_priority::accept), not_owned};
+                             make.owned("c", request_priority::user_request), not_owned};
     auto conflicting = store::take_conflicting({"b", "c", "d"}, batch);
     EXPECT_EQ(keys_of(conflicting), (key_list{"b", "c"}));
     EXPECT_EQ(keys_of(batch), (key_list{"a", "d"}));
@@ -130,17 +130,17 @@
     EXPECT_EQ(conditions, (std::vector<std::pair<std::string, std::uint64_t>>{
                               {"j/a/job-1", 9}, {"p/1", 5}, {"p/2", 0}, {"leader", 3}}));
     EXPECT_EQ(made.ops.size(), 3u);
-    EXPECT_EQ(made.priority, request_priority::accept);
-    EXPECT_EQ(made.kept_after_refusal, 2u);
+    EXPECT_EQ(made.priority, request_priority::user_request);
+    EXPECT_EQ(made.units_kept_after_refusal, 2u);
     ASSERT_TRUE(made.fence);
     EXPECT_EQ(made.fence->version, 3u);
-    EXPECT_FALSE(made.unsure);
+    EXPECT_FALSE(made.outcome_unknown);
 }
 
 TEST(transaction, has_no_condition_for_a_key_that_is_not_owned) {
     units make;
-    auto unit = make.owned("p/1", request_priority::accept);
-    unit.owned = false;
+    auto unit = make.owned("p/1", request_priority::user_request);
+    unit.owns_keys = false;
     auto made = store::make_transaction({unit}, {}, std::nullopt);
     EXPECT_TRUE(made.conditions.empty());
     EXPECT_FALSE(made.fence);
@@ -150,8 +150,9 @@
     store::known_revisions revisions;
     revisions.note_committed({"p/1", "[1]", 0}, 5);
     revisions.note_committed({"j/e/job-1", "{}", 0}, 5);
-    EXPECT_EQ(revisions.of("p/1"), 5u);
-    EXPECT_EQ(revisions.of("j/e/job-1"), 0u) << "a job's records are not written again by owners";
+    EXPECT_EQ(revisions.revision_of("p/1"), 5u);
+    EXPECT_EQ(revisions.revision_of("j/e/job-1"), 0u)
+        << "a job's records are not written again by owners";
     revisions.note_committed({"p/1", "", 0}, 6);
-    EXPECT_EQ(revisions.of("p/1"), 0u) << "deleted";
+    EXPECT_EQ(revisions.revision_of("p/1"), 0u) << "deleted";
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -32,7 +32,7 @@
     }
     void write(const std::string &key, const std::string &value) {
         store::write_unit u;
-        u.owned = true;
+        u.owns_keys = true;
         u.ops = {{key, value, 0}};
         u.on_outcome = [this](write_outcome how, std::uint64_t) { told.push_back(how); };
         commits.submit(std::move(u));
@@ -91,7 +91,7 @@
     c.state.release_held();
     EXPECT_EQ(c.state.keys.at("p/1").value, "[1]");
     ASSERT_TRUE(c.until(2));
-    EXPECT_EQ(c.told[1], write_outcome::lost);
+    EXPECT_EQ(c.told[1], write_outcome::unconfirmed);
 }
 
 // Seen on the gap day: after an outage of 91 s no submission was accepted within 200 ms any more.
@@ -103,12 +103,12 @@
         store::write_unit u;
         u.conditions = {{"j/a/job-" + std::to_string(i % 40), 0}};
         u.ops = {{u.conditions[0].key, "{}", 0}};
-        u.give_up_at = net::steady_now() + 300ms;
+        u.deadline = net::steady_now() + 300ms;
         u.on_outcome = [&](write_outcome how, std::uint64_t) { c.told.push_back(how); };
         c.commits.submit(std::move(u));
     }
     ASSERT_TRUE(c.until(200, 5s));
-    EXPECT_EQ(std::count(c.told.begin(), c.told.end(), write_outcome::lost), 200);
+    EXPECT_EQ(std::count(c.told.begin(), c.told.end(), write_outcome::unconfirmed), 200);
     c.state.outage = false;
     auto before = c.state.commits;
     c.write("j/a/job-new", "{}");
@@ -123,7 +123,7 @@
     // Our own raise of the token came through late: without a word to whoever holds the fence the
     // committer would try for ever.
     auto moved = c.state.apply({}, {{"leader", "{\"raise\":1}", 0}}).revision;
-    c.commits.fence_failed = [&] {
+    c.commits.on_fence_failed = [&] {
         ++c.fence_failures;
         c.token = moved;
     };
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -57,18 +57,18 @@
             std::string line = "write";
             for (auto &o : w.ops) {
                 line += fmt::format(" {}{}", o.value.empty() ? "drop " : "", o.key);
-                if (w.kind == control::write_kind::placed)
+                if (w.kind == control::write_kind::placements)
                     for (auto &t : wire::parse_placed(o.value))
                         line += fmt::format(" [{}/{} on {} attempt {}]", t.job, t.index, t.machine,
                                             show(t.attempt));
-                else if (w.kind == control::write_kind::done ||
+                else if (w.kind == control::write_kind::done_tasks ||
                          w.kind == control::write_kind::suspects)
                     line += " " + o.value;
                 else if (w.kind == control::write_kind::job_end && !o.value.empty())
                     line += std::string(" ") +
                             std::string(wire::state_word(wire::parse_ended(o.value).state));
             }
-            for (auto &c : w.when)
+            for (auto &c : w.conditions)
                 line += fmt::format(" if {} is {}", c.key, c.version);
             say(line);
             writes.push_back(w);
@@ -242,7 +242,7 @@
         for (auto &w : list) {
             // What the key-value store does: all conditions must hold.
             bool ok = true;
-            for (auto &c : w.when)
+            for (auto &c : w.conditions)
                 if (auto j = versions.find(c.key.substr(4));
                     j == versions.end() ? c.version != 0 : j->second != c.version)
                     ok = false;
