--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -15,12 +15,12 @@
 
 request_priority priority_of(write_kind kind) {
     switch (kind) {
-    case write_kind::placed:
+    case write_kind::placements:
     case write_kind::rental:
         return request_priority::placement;
     case write_kind::job_end:
-        return request_priority::accept; // users wait for it
-    case write_kind::done:
+        return request_priority::user_request; // users wait for it
+    case write_kind::done_tasks:
     case write_kind::cleanup:
     case write_kind::suspects:
         return request_priority::background;
@@ -67,7 +67,7 @@
     start_cloud_calls(now);
     commands_->send_urgent_commands();
     if (now - components_.jobs.fresh_at() > c::leader_max_read_age)
-        components_.jobs.want_read();
+        components_.jobs.request_read();
     term_->drop_cancels_through(components_.jobs.revision());
     if (now > next_summary_)
         log_summary(now);
@@ -75,7 +75,7 @@
 
 void control_loop::submit_writes(time_point now) {
     auto most = static_cast<std::size_t>(components_.settings.txn_ops);
-    auto waiting = term_->end_writer.waiting();
+    auto waiting = term_->end_writer.queue_length();
     auto room = waiting < most ? most - waiting : 0;
     for (const auto &write : term_->active_scheduler()->take_writes(now, room))
         submit_write(write);
@@ -83,13 +83,13 @@
 
 void control_loop::submit_write(const durable_write &write) {
     store::write_unit change;
-    change.owned = true;
-    change.conditions = write.when;
+    change.owns_keys = true;
+    change.conditions = write.conditions;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
     change.on_outcome = [by = term_, write](store::write_outcome outcome, std::uint64_t) {
         auto *core = by->scheduler_unless_ended();
-        if (outcome == store::write_outcome::lost || !core)
+        if (outcome == store::write_outcome::unconfirmed || !core)
             return;
         bool committed = outcome == store::write_outcome::committed;
         core->on_write_completed(write, committed, steady_now());
@@ -118,8 +118,9 @@
     next_summary_ = now + c::summary_interval;
     commands_->close_idle_connections(now);
     spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands",
-                 term_->active_scheduler()->summary(), term_->placement_writer.waiting(),
-                 term_->end_writer.waiting(), term_->heartbeats_received, term_->commands_sent);
+                 term_->active_scheduler()->summary(), term_->placement_writer.queue_length(),
+                 term_->end_writer.queue_length(), term_->heartbeats_received,
+                 term_->commands_sent);
     term_->heartbeats_received = term_->commands_sent = 0;
 }
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -65,10 +65,10 @@
             leadership_->active_scheduler()->set_token(token);
     };
     member_.get_records_status = [this] {
-        return membership::member::records_status{jobs_.loaded(), jobs_.revision(),
+        return membership::member::records_status{jobs_.is_loaded(), jobs_.revision(),
                                                   jobs_.fresh_at()};
     };
-    member_.request_records_read = [this] { jobs_.want_read(); };
+    member_.request_records_read = [this] { jobs_.request_read(); };
     member_.on_cancels = [this](const std::vector<cancel_notice> &notices) {
         for (const auto &notice : notices)
             apply_cancel(notice);
@@ -76,7 +76,7 @@
 }
 
 void controller::connect_jobs() {
-    jobs_.on_active = [this](const std::string &id, const catalog::cached_job &job) {
+    jobs_.on_active_job = [this](const std::string &id, const catalog::cached_job &job) {
         if (job.record.cancelled)
             member_.add_cancel({id, job.revision, job.record.cancelled_at});
         if (leadership_)
@@ -110,14 +110,14 @@
 void controller::on_elected() {
     on_leadership_ended();
     leadership_ = std::make_shared<leadership>(io_, store_, settings_, member_);
-    jobs_.prompt(true);
+    jobs_.set_prompt_updates(true);
     net::spawn(io_, lead(leadership_), "take over");
 }
 
 void controller::on_leadership_ended() {
     if (!leadership_)
         return;
-    jobs_.prompt(false);
+    jobs_.set_prompt_updates(false);
     leadership_->end();
     leadership_.reset();
 }
@@ -206,11 +206,11 @@
 }
 
 response controller::ready() const {
-    if (!jobs_.loaded() || !machine_types_.get())
+    if (!jobs_.is_loaded() || !machine_types_.get())
         return unavailable_response("starting");
     // Cut from the store while others are not: they serve better. A controller that hears neither
     // it nor any other controller can't tell, and is no better.
-    if (membership::should_divert_users(store_.silence(steady_now()),
+    if (membership::should_divert_users(store_.time_since_last_reply(steady_now()),
                                         member_.store_reachable_elsewhere(),
                                         member_.is_isolated_for(c::isolation_timeout)))
         return unavailable_response("no state service");
--- a/src/control/job_cancellations.cpp
+++ b/src/control/job_cancellations.cpp
@@ -27,7 +27,7 @@
 awaitable<response> job_cancellations::on_cancel(std::string id) {
     if (!wire::valid_job_id(id))
         co_return error_response(404, "no such job");
-    if (!jobs_.loaded() || writes_.full())
+    if (!jobs_.is_loaded() || writes_.full())
         co_return unavailable_response("starting");
     auto limit = steady_now() + c::user_request_timeout;
     while (steady_now() < limit - c::user_request_reserve) {
@@ -38,7 +38,7 @@
             co_return error_response(404, "no such job");
         if (is_final(found.status.state))
             co_return accepted(id, found.status.state);
-        const auto *active = jobs_.active(id);
+        const auto *active = jobs_.find_active(id);
         if (!active)
             continue;
         auto time_limit = std::max(c::min_commit_timeout, limit - steady_now());
--- a/src/control/machine_type_catalog.cpp
+++ b/src/control/machine_type_catalog.cpp
@@ -13,7 +13,7 @@
 net::awaitable<void> machine_type_catalog::load() {
     while (!stopping_ && !types_) {
         auto stored =
-            co_await store_.get(store::keys::machine_types, store::request_priority::accept);
+            co_await store_.get(store::keys::machine_types, store::request_priority::user_request);
         if (stored && stored->found) {
             try {
                 set_if_unknown(wire::parse_machine_types(stored->item.value));
--- a/src/membership/member_messages.cpp
+++ b/src/membership/member_messages.cpp
@@ -33,7 +33,7 @@
     if (request.wants_store_check.value_or(false) &&
         now - get_records_status().fresh_at > c::leader_renew_interval)
         request_records_read();
-    answer.store_reachable = store_.serving(now);
+    answer.store_reachable = store_.is_available(now);
     answer.heartbeat_age = election_.heartbeat_age(now);
     if (request.cancels)
         answer.cancels = make_cancel_log_response(*request.cancels, now);
@@ -92,9 +92,9 @@
     request.candidacy = election_.candidacy();
     request.role = role;
     request.vote_duration = vote_length;
-    request.store_reachable = store_.serving(now);
+    request.store_reachable = store_.is_available(now);
     if (role == requester_role::leader) {
-        request.wants_store_check = !store_.serving(now) || election_.lacks_heartbeats(now);
+        request.wants_store_check = !store_.is_available(now) || election_.lacks_heartbeats(now);
         request.cancels = link.cancel_reader.next_request(get_records_status().revision);
     }
     return request;
--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -75,8 +75,8 @@
 
 void bid_round::task_queued(bidder &winner, const catalog::job &job, seconds estimate) {
     winner.add_task(job.spec, estimate);
-    if (winner.add_fetch(job.image))
-        fetching_by_image_[job.image].push_back(&winner);
+    if (winner.add_fetch(job.image_number))
+        fetching_by_image_[job.image_number].push_back(&winner);
     ++winner.version;
 }
 
@@ -93,7 +93,7 @@
     auto offer = bidding::make_bid(
         machine.machine->speed, machine.type->fetch_gb_per_s, spec, machine.free,
         machine.array_capacity, preempting ? seconds{} : machine.backlog, machine.boot_time,
-        asked.expected, machine.has_image(job.image), machine.pending_fetches);
+        asked.expected, machine.has_image(job.image_number), machine.pending_fetches);
     if (queue_too_long(machine, offer.queue_time))
         return {};
     round_bid bid{&machine, offer.finish_time(), preempting ? seconds{} : offer.queue_time,
@@ -120,7 +120,7 @@
 std::optional<round_bid> bid_round::find_best_cached_bid(const bid_request &asked) {
     auto &bids = cached_bids_for(asked);
     auto &heap = bids.heap;
-    const auto &fetching = fetching_by_image_[asked.job.image];
+    const auto &fetching = fetching_by_image_[asked.job.image_number];
     for (; bids.fetching_processed < fetching.size(); ++bids.fetching_processed)
         push_bid(heap, asked, *fetching[bids.fetching_processed]);
     // Apart from those, bids only rise within a round: an outdated one is worked out anew when it
@@ -145,7 +145,7 @@
         if (auto bid = bid_of(asked, *machine))
             bids.heap.push_back(*bid);
     std::make_heap(bids.heap.begin(), bids.heap.end());
-    bids.fetching_processed = fetching_by_image_[asked.job.image].size();
+    bids.fetching_processed = fetching_by_image_[asked.job.image_number].size();
     return bids;
 }
 
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -95,10 +95,10 @@
             if (!held.holds_resources())
                 return;
             // Past its estimate: as much again as a fifth of it, rather than nothing.
-            entry.add_task(job.spec, std::max(held.estimate - held.ran_for(now),
-                                              overdue_estimate_share * held.estimate));
+            entry.add_task(job.spec, std::max(held.expected_run_time - held.observed_run_time(now),
+                                              overdue_estimate_share * held.expected_run_time));
             if (held.phase != attempt_phase::running && held.phase != attempt_phase::checkpointing)
-                entry.add_fetch(job.image);
+                entry.add_fetch(job.image_number);
         });
 }
 
@@ -108,7 +108,7 @@
         if (!job)
             continue;
         entry.add_task(job->spec, queued.estimate);
-        entry.add_fetch(job->image);
+        entry.add_fetch(job->image_number);
     }
 }
 
--- a/src/planning/service_order.cpp
+++ b/src/planning/service_order.cpp
@@ -72,13 +72,14 @@
     fairness::waiting_job waiting;
     waiting.due_in = due_times_of(settings, job, expected, now);
     waiting.wait_time = now - job.ready_at;
-    waiting.has_started = job.done_seen > 0 || !job.live.empty();
+    waiting.has_started = job.reported_done_count > 0 || !job.current_attempts.empty();
     waiting.min_completion_time = expected;
     // Those done, but not yet durably, hold nothing.
-    waiting.occupied_slots =
-        static_cast<double>(job.live.size()) - static_cast<double>(job.done_seen - job.done_count);
-    waiting.remaining_work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
-                                         running_task_left * waiting.occupied_slots);
+    waiting.occupied_slots = static_cast<double>(job.current_attempts.size()) -
+                             static_cast<double>(job.reported_done_count - job.durable_done_count);
+    waiting.remaining_work =
+        expected * (job.waiting_tasks() + static_cast<double>(job.queued_on.size()) +
+                    running_task_left * waiting.occupied_slots);
     return waiting;
 }
 
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -62,10 +62,10 @@
         if (given.kind != command_kind::start)
             return true;
         const auto *job = state_.find_job(given.job);
-        if (!job || job->over())
+        if (!job || job->is_closed())
             return false;
         const auto *attempt = state_.find_attempt({given.job, given.index}, given.attempt);
-        return attempt && !attempt->stop_wanted;
+        return attempt && !attempt->stop_requested;
     });
 }
 
@@ -139,22 +139,22 @@
     case attempt_phase::exited:
         break;
     case attempt_phase::committed:
-        if (!attempt.stop_wanted)
+        if (!attempt.stop_requested)
             add_start(composed, job, attempt);
         break;
     case attempt_phase::sent:
-        if (attempt.stop_wanted)
+        if (attempt.stop_requested)
             add_stop(seconds{});
         else
             add_start(composed, job, attempt);
         break;
     case attempt_phase::fetching:
     case attempt_phase::running:
-        if (attempt.stop_wanted)
-            add_stop(attempt.grace);
+        if (attempt.stop_requested)
+            add_stop(attempt.stop_grace);
         break;
     case attempt_phase::checkpointing:
-        if (attempt.stop_wanted && attempt.grace <= seconds{})
+        if (attempt.stop_requested && attempt.stop_grace <= seconds{})
             add_stop(seconds{});
         break;
     }
@@ -163,7 +163,7 @@
 void command_composer::add_start(composition &composed, const catalog::job &job,
                                  catalog::attempt &attempt) const {
     const auto &machine = composed.machine;
-    if (attempt.inherited || !machine.is_usable() || job.over() ||
+    if (attempt.inherited || !machine.is_usable() || job.is_closed() ||
         composed.permission == start_permission::withheld)
         return;
     if (attempt.phase == attempt_phase::committed) {
@@ -182,7 +182,7 @@
 bidding::resources command_composer::resources_after_stops(workers::machine &machine) const {
     bidding::resources room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
-        bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
+        bool stops_now = attempt.stop_requested && attempt.stop_grace <= seconds{};
         if (attempt.possibly_running() && !stops_now)
             room.allocate(job.spec);
     });
--- a/src/workers/attempt_liveness.cpp
+++ b/src/workers/attempt_liveness.cpp
@@ -25,7 +25,7 @@
         attempt.sent_incarnation == machine.incarnation && machine.sequence > attempt.sent_sequence;
     if (!answer_dropped)
         return attempt_liveness::possibly_live;
-    if (attempt.stop_wanted || !machine.is_usable())
+    if (attempt.stop_requested || !machine.is_usable())
         return attempt_liveness::gone;
     return attempt_liveness::start_dropped;
 }
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -57,11 +57,11 @@
             std::string line = "write";
             for (auto &o : w.ops) {
                 line += fmt::format(" {}{}", o.value.empty() ? "drop " : "", o.key);
-                if (w.kind == control::write_kind::placed)
+                if (w.kind == control::write_kind::placements)
                     for (auto &t : wire::parse_placements(o.value))
                         line += fmt::format(" [{}/{} on {} attempt {}]", t.job, t.index, t.machine,
                                             show(t.attempt));
-                else if (w.kind == control::write_kind::done ||
+                else if (w.kind == control::write_kind::done_tasks ||
                          w.kind == control::write_kind::suspects)
                     line += " " + o.value;
                 else if (w.kind == control::write_kind::job_end && !o.value.empty())
@@ -69,7 +69,7 @@
                         std::string(" ") +
                         std::string(wire::job_state_name(wire::parse_ended_record(o.value).state));
             }
-            for (auto &c : w.when)
+            for (auto &c : w.conditions)
                 line += fmt::format(" if {} is {}", c.key, c.revision);
             say(line);
             writes.push_back(w);
@@ -243,7 +243,7 @@
         for (auto &w : list) {
             // What the key-value store does: all conditions must hold.
             bool ok = true;
-            for (auto &c : w.when)
+            for (auto &c : w.conditions)
                 if (auto j = versions.find(c.key.substr(4));
                     j == versions.end() ? c.revision != 0 : j->second != c.revision)
                     ok = false;
