--- a/src/planning/bid_round.cpp
+++ b/src/planning/bid_round.cpp
@@ -1,4 +1,5 @@
-// What machines bid for a task, and how the lowest bid is found without asking them all each time.
+// Computes the bids of machines for a task, and caches them per job so that the lowest bid is found
+// without computing all of them for each task.
 #include "planning/bid_round.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -7,37 +8,37 @@
 
 namespace {
 
-namespace c = constants;
-
-// Whether and how a machine can run one more such task.
-struct capacity {
+// Whether a machine can run one more task, and whether others must be preempted for it.
+struct fit {
     bool fits = false;
-    bool preempting = false; // it fits once other work was stopped
+    bool needs_preemption = false;
 };
 
-capacity capacity_for(const job_spec &spec, const bidder &machine) {
+fit check_fit(const job_spec &spec, const bidder &candidate) {
     bool critical = spec.priority == priority_class::critical;
     if (spec.shape == job_shape::service || critical) {
-        // A service leaves only with its user: nobody queues behind it.
-        const auto &available = critical ? machine.free_for_critical : machine.array_capacity;
-        return {available.fits(spec), !machine.free.fits(spec)};
+        // Services run until they are cancelled, so no task waits in a queue for their resources.
+        const auto &available = critical ? candidate.free_for_critical : candidate.array_capacity;
+        return {available.fits(spec), !candidate.free.fits(spec)};
     }
-    if (!machine.array_capacity.fits(spec))
+    if (!candidate.array_capacity.fits(spec))
         return {};
-    // Work of the lowest priority makes room where waiting for it would take longer.
-    bool waits = machine.boot_time <= seconds{} && !machine.free.fits(spec) &&
-                 machine.backlog > c::preempt_cost * machine.array_capacity.slots(spec);
-    return {true,
-            waits && spec.priority != priority_class::low && machine.free_above_low.fits(spec)};
+    // Tasks of low priority are preempted where waiting for them would take longer.
+    bool would_wait =
+        candidate.boot_time <= seconds{} && !candidate.free.fits(spec) &&
+        candidate.backlog > constants::preempt_cost * candidate.array_capacity.slots(spec);
+    return {true, would_wait && spec.priority != priority_class::low &&
+                      candidate.free_above_low.fits(spec)};
 }
 
-// The machine's queue is full, by time or by number.
-bool queue_too_long(const bidder &machine, seconds queue_time) {
-    if (queue_time > c::queue_limit)
+// Returns whether the machine's queue is full, by estimated time or by number of tasks.
+bool is_queue_full(const bidder &candidate, seconds queue_time) {
+    if (queue_time > constants::queue_limit)
         return true;
-    // Guards against a leader that is busy with bids alone: the tasks of a large sweep fill every
-    // queue by the thousand, and all of them are bid again each second.
-    return queue_time > machine.boot_time && machine.machine->queue.size() >= c::queue_tasks;
+    // The limit by number keeps the leader responsive: otherwise the short tasks of a large sweep
+    // fill every queue by the thousand, and bids for all of them are computed again each second.
+    return queue_time > candidate.boot_time &&
+           candidate.machine->queue.size() >= constants::queue_tasks;
 }
 
 } // namespace
@@ -62,11 +63,11 @@
                         allowed};
     if (!some_failed && unmet_requirements_.contains(needed))
         return {};
-    bid_request asked{job, allowed, expected, some_failed, now};
-    // Where tasks of services and of jobs with zone rules may be changes with each of them, and a
-    // bid may fall when another task takes resources: such bids are not kept.
+    bid_request request{job, allowed, expected, some_failed, now};
+    // The bids for services and for jobs with zone rules are not cached: the allowed zones change
+    // with each placed task, and a bid may fall when another task takes resources.
     bool bids_may_fall = spec.shape == job_shape::service || spec.same_zone || spec.spread;
-    auto best = bids_may_fall ? find_best_bid(asked) : find_best_cached_bid(asked);
+    auto best = bids_may_fall ? find_best_bid(request) : find_best_cached_bid(request);
     if (!best && !some_failed)
         unmet_requirements_.insert(std::move(needed));
     return best;
@@ -79,78 +80,80 @@
     ++winner.version;
 }
 
-std::optional<round_bid> bid_round::bid_of(const bid_request &asked, bidder &machine) const {
-    const auto &job = asked.job;
+std::optional<round_bid> bid_round::bid_of(const bid_request &request, bidder &candidate) const {
+    const auto &job = request.job;
     const auto &spec = job.spec;
-    if (!asked.allowed[machine.machine_class] || !machine.machine->takes_work(asked.now))
+    if (!request.allowed[candidate.machine_class] || !candidate.machine->takes_work(request.now))
         return {};
-    if (asked.some_failed && state_.failures().failed_on(spec.id, machine.machine->name))
+    if (request.some_failed && state_.failures().failed_on(spec.id, candidate.machine->name))
         return {};
-    auto [fits, preempting] = capacity_for(spec, machine);
+    auto [fits, needs_preemption] = check_fit(spec, candidate);
     if (!fits)
         return {};
-    auto offer = bidding::make_bid(
-        machine.machine->speed, machine.type->fetch_gb_per_s, spec, machine.free,
-        machine.array_capacity, preempting ? seconds{} : machine.backlog, machine.boot_time,
-        asked.expected, machine.has_image(job.image), machine.pending_fetches);
-    if (queue_too_long(machine, offer.queue_time))
+    auto estimate = bidding::make_bid(candidate.machine->speed, candidate.type->fetch_gb_per_s,
+                                      spec, candidate.free, candidate.array_capacity,
+                                      needs_preemption ? seconds{} : candidate.backlog,
+                                      candidate.boot_time, request.expected,
+                                      candidate.has_image(job.image), candidate.pending_fetches);
+    if (is_queue_full(candidate, estimate.queue_time))
         return {};
-    round_bid bid{&machine, offer.finish_time(), preempting ? seconds{} : offer.queue_time,
-                  machine.version};
-    if (preempting)
-        bid.finish_time += c::preempt_cost;
-    // Between equals, a replica goes where it spoils least room for work that comes and goes.
+    round_bid bid{&candidate, estimate.finish_time(),
+                  needs_preemption ? seconds{} : estimate.queue_time, candidate.version};
+    if (needs_preemption)
+        bid.finish_time += constants::preempt_cost;
+    // Of otherwise equal machines, a replica takes the one where it displaces the fewest array
+    // tasks.
     if (spec.shape == job_shape::service)
-        bid.finish_time +=
-            c::displaced_slot_cost * displaced_slots(machine, spec, state_.latest_array());
+        bid.finish_time += constants::displaced_slot_cost *
+                           displaced_slots(candidate, spec, state_.latest_array());
     return bid;
 }
 
-std::optional<round_bid> bid_round::find_best_bid(const bid_request &asked) const {
+std::optional<round_bid> bid_round::find_best_bid(const bid_request &request) const {
     std::optional<round_bid> best;
-    for (auto *machine : bidders_) {
-        auto bid = bid_of(asked, *machine);
+    for (auto *candidate : bidders_) {
+        auto bid = bid_of(request, *candidate);
         if (bid && (!best || bid->finish_time < best->finish_time))
             best = bid;
     }
     return best;
 }
 
-std::optional<round_bid> bid_round::find_best_cached_bid(const bid_request &asked) {
-    auto &bids = cached_bids_for(asked);
+std::optional<round_bid> bid_round::find_best_cached_bid(const bid_request &request) {
+    auto &bids = cached_bids_for(request);
     auto &heap = bids.heap;
-    const auto &fetching = fetching_by_image_[asked.job.image];
+    const auto &fetching = fetching_by_image_[request.job.image];
     for (; bids.fetching_processed < fetching.size(); ++bids.fetching_processed)
-        push_bid(heap, asked, *fetching[bids.fetching_processed]);
-    // Apart from those, bids only rise within a round: an outdated one is worked out anew when it
-    // comes to the top.
+        push_bid(heap, request, *fetching[bids.fetching_processed]);
+    // All other bids only rise within a round, so an outdated bid is computed again when it comes
+    // to the top of the heap.
     while (!heap.empty() && heap.front().bidder_version != heap.front().bidder->version) {
         std::pop_heap(heap.begin(), heap.end());
-        auto *machine = heap.back().bidder;
+        auto *candidate = heap.back().bidder;
         heap.pop_back();
-        push_bid(heap, asked, *machine);
+        push_bid(heap, request, *candidate);
     }
     if (heap.empty())
         return {};
     return heap.front();
 }
 
-bid_round::job_bids &bid_round::cached_bids_for(const bid_request &asked) {
-    auto [entry, is_new] = cached_bids_.try_emplace(asked.job.spec.id);
+bid_round::job_bids &bid_round::cached_bids_for(const bid_request &request) {
+    auto [entry, is_new] = cached_bids_.try_emplace(request.job.spec.id);
     auto &bids = entry->second;
     if (!is_new)
         return bids;
-    for (auto *machine : bidders_)
-        if (auto bid = bid_of(asked, *machine))
+    for (auto *candidate : bidders_)
+        if (auto bid = bid_of(request, *candidate))
             bids.heap.push_back(*bid);
     std::make_heap(bids.heap.begin(), bids.heap.end());
-    bids.fetching_processed = fetching_by_image_[asked.job.image].size();
+    bids.fetching_processed = fetching_by_image_[request.job.image].size();
     return bids;
 }
 
-void bid_round::push_bid(std::vector<round_bid> &heap, const bid_request &asked,
-                         bidder &machine) const {
-    auto bid = bid_of(asked, machine);
+void bid_round::push_bid(std::vector<round_bid> &heap, const bid_request &request,
+                         bidder &candidate) const {
+    auto bid = bid_of(request, candidate);
     if (!bid)
         return;
     heap.push_back(*bid);
--- a/src/planning/bidder.cpp
+++ b/src/planning/bidder.cpp
@@ -1,4 +1,4 @@
-// What a machine's figures become with each task it takes.
+// Updates of a bidder when tasks and image fetches are added.
 #include "planning/bidder.hpp"
 
 namespace spindlecroft::planning {
--- a/src/planning/bidder.hpp
+++ b/src/planning/bidder.hpp
@@ -1,4 +1,4 @@
-// One machine in a round of bids, or one that is about to be rented.
+// A machine's resources, queued work and images as its bids see them.
 #pragma once
 #include "bidding/bid.hpp"
 #include "common/time.hpp"
@@ -11,40 +11,52 @@
 
 namespace spindlecroft::planning {
 
+/// A machine that bids for tasks: one in use, or one that is requested or planned to be rented.
 struct bidder {
-    workers::machine *machine = nullptr; // null: rented, not yet named
+    /// Null for a rented machine that the cloud has not named yet.
+    workers::machine *machine = nullptr;
     const machine_type *type = nullptr;
     std::string zone;
     bool spot = false;
-    std::size_t machine_class = 0;        // index in cluster_state::machine_classes()
-    bidding::resources free;              // not held by any present or queued task
-    bidding::resources free_for_critical; // the same, work of lower priority than critical left out
-    bidding::resources free_above_low;    // the same, work of the lowest priority left out
-    bidding::resources array_capacity;    // what services leave to work that comes and goes
-    seconds backlog{};                    // remaining and queued run time of that work
-    seconds boot_time{};                  // until it is up
+    /// Index in cluster_state::machine_classes().
+    std::size_t machine_class = 0;
+    /// Resources that no placed or queued task holds.
+    bidding::resources free;
+    /// Resources that no task of critical priority holds.
+    bidding::resources free_for_critical;
+    /// Resources that no task above low priority holds.
+    bidding::resources free_above_low;
+    /// Resources that no service holds: array tasks may use them.
+    bidding::resources array_capacity;
+    /// Remaining run time of the placed and queued array tasks.
+    seconds backlog{};
+    /// Time until the machine is up.
+    seconds boot_time{};
     std::optional<time_point> refreshed_at;
-    int pending_fetches = 0;   // images on their way
-    std::uint32_t version = 0; // grows with what it holds
-    std::size_t position = 0;  // its position in the round; of equal bids the first wins
-    std::vector<std::uint32_t> cached_images,
-        fetching_images; // numbers of images: there, and being fetched
+    /// Number of images that are being fetched or will be for queued tasks.
+    int pending_fetches = 0;
+    /// Grows with every task that is added within a round.
+    std::uint32_t version = 0;
+    /// Position in the round: the first of several equal bids wins.
+    std::size_t position = 0;
+    /// Numbers of the images that are cached and of those that are being fetched.
+    std::vector<std::uint32_t> cached_images, fetching_images;
 
     [[nodiscard]] static bool contains(const std::vector<std::uint32_t> &list,
                                        std::uint32_t image) {
         return std::find(list.begin(), list.end(), image) != list.end();
     }
-    // The image is there or on its way: a task that needs it does not fetch it again.
+    /// Whether the image is cached or being fetched, so that a further task need not fetch it.
     [[nodiscard]] bool has_image(std::uint32_t image) const {
         return contains(cached_images, image) || contains(fetching_images, image);
     }
-    // Counts a present or queued task with so much run time left.
+    /// Adds a placed or queued task with this remaining run time.
     void add_task(const job_spec &spec, seconds remaining);
-    // The image is needed there. False: it is there or coming already.
+    /// Adds a fetch of the image. Returns false if the image is cached or being fetched already.
     bool add_fetch(std::uint32_t image);
 };
 
-// How many tasks like `array` lose their slot on the machine if it takes a task of `spec`.
+/// Returns how many tasks like `array` lose their slot on the machine if it takes a task of `spec`.
 [[nodiscard]] int displaced_slots(const bidder &machine, const job_spec &spec,
                                   const std::optional<job_spec> &array);
 
--- a/src/planning/bidder_table.cpp
+++ b/src/planning/bidder_table.cpp
@@ -1,4 +1,4 @@
-// Which machines bid, and with what figures.
+// Selects the machines that bid, and computes their bidders.
 #include "planning/bidder_table.hpp"
 #include "constants.hpp"
 #include "model/boot_age.hpp"
@@ -9,14 +9,16 @@
 namespace {
 
 using catalog::attempt_phase;
-namespace c = constants;
-
-constexpr double boot_time_margin = 1.1;       // boots that take this much longer are ordinary
-constexpr seconds least_boot_time{1};          // left of a boot that takes longer than usual
-constexpr double overdue_estimate_share = 0.2; // of its estimate, left of a task past it
+// Factor on the type's boot time: a boot that takes this much longer is still ordinary.
+constexpr double boot_time_margin = 1.1;
+// Assumed remaining time of a boot that takes longer than usual.
+constexpr seconds least_boot_time{1};
+// Assumed remaining run time of a task past its estimate, as a share of the estimate.
+constexpr double overdue_estimate_share = 0.2;
 
 bool is_slow(const workers::machine &machine) {
-    return machine.speed_samples >= c::slow_samples && machine.speed < c::slow_machine;
+    return machine.speed_samples >= constants::slow_samples &&
+           machine.speed < constants::slow_machine;
 }
 
 } // namespace
@@ -28,39 +30,41 @@
     if (machine.up)
         return seconds{};
     seconds age = model::boot_age(machine, state_.term(), settings_, now);
-    if (age > c::boot_hedge * machine.type.boot_time)
-        return {}; // late: nothing is promised in its name
+    if (age > constants::boot_hedge * machine.type.boot_time)
+        return {}; // The boot is late: no task is queued for a machine that may never come up.
     return std::max(least_boot_time, machine.type.boot_time * boot_time_margin - age);
 }
 
 std::vector<bidder *> bidder_table::eligible_bidders(time_point now) {
-    std::vector<bidder *> bidding;
-    bidding.reserve(state_.machines().size());
-    // Both maps are in the order of names: entries passed over are of machines that are gone.
+    std::vector<bidder *> eligible;
+    eligible.reserve(state_.machines().size());
+    // Both maps are sorted by name: entries that are skipped belong to machines that were removed.
     auto next = bidders_.begin();
     for (auto &[name, machine] : state_.machines()) {
         while (next != bidders_.end() && next->first < name)
             next = bidders_.erase(next);
-        bool known = next != bidders_.end() && next->first == name;
+        bool has_entry = next != bidders_.end() && next->first == name;
         auto boot_time = time_until_up(machine, now);
         if (!boot_time) {
-            if (known)
+            if (has_entry)
                 ++next;
             continue;
         }
-        if (!known)
+        if (!has_entry)
             next = bidders_.try_emplace(next, name);
         auto &entry = next->second;
         ++next;
         entry.machine = &machine;
         entry.boot_time = *boot_time;
-        // What nothing has changed on only grows older; that need not be exact.
-        if (machine.changed || !entry.refreshed_at || now - *entry.refreshed_at > c::bidder_age)
+        // On an unchanged machine only the remaining run times shrink. They need not be exact, so
+        // it is refreshed at longer intervals.
+        if (machine.changed || !entry.refreshed_at ||
+            now - *entry.refreshed_at > constants::bidder_age)
             refresh(entry, now);
-        bidding.push_back(&entry);
+        eligible.push_back(&entry);
     }
     bidders_.erase(next, bidders_.end());
-    return bidding;
+    return eligible;
 }
 
 bidder *bidder_table::find(const std::string &machine) {
@@ -90,13 +94,15 @@
 
 void bidder_table::add_attempts(bidder &entry, time_point now) {
     state_.for_each_attempt(
-        *entry.machine, [&](const catalog::job &job, const catalog::attempt &held) {
-            if (!held.holds_resources())
+        *entry.machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
+            if (!attempt.holds_resources())
                 return;
-            // Past its estimate: as much again as a fifth of it, rather than nothing.
-            entry.add_task(job.spec, std::max(held.estimate - held.ran_for(now),
-                                              overdue_estimate_share * held.estimate));
-            if (held.phase != attempt_phase::running && held.phase != attempt_phase::checkpointing)
+            // A task past its estimate is assumed to run for another fifth of it, not to end at
+            // once.
+            entry.add_task(job.spec, std::max(attempt.estimate - attempt.ran_for(now),
+                                              overdue_estimate_share * attempt.estimate));
+            if (attempt.phase != attempt_phase::running &&
+                attempt.phase != attempt_phase::checkpointing)
                 entry.add_fetch(job.image);
         });
 }
--- a/src/planning/bidder_table.hpp
+++ b/src/planning/bidder_table.hpp
@@ -1,5 +1,6 @@
-// The machines' figures (free resources, queued work, images), kept between rounds of bids and
-// worked out anew only where something changed: at full size that is a small part.
+// The bidders of all machines: their free resources, queued work and images. The table is kept
+// between rounds, and a bidder is computed again only after its machine changed, which at full size
+// few do between two rounds.
 #pragma once
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
@@ -11,19 +12,20 @@
 
 namespace spindlecroft::planning {
 
+/// Holds one bidder for each machine.
 class bidder_table {
   public:
     bidder_table(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state) {}
 
-    // The machines that may get work now, by name, with what they hold brought up to date. They
-    // stay valid until the next call.
+    /// Returns the up-to-date bidders of the machines that may get work now, in the order of the
+    /// machines' names. The pointers stay valid until the next call.
     std::vector<bidder *> eligible_bidders(time_point now);
-    // The machine as it last bid; null if it never did.
+    /// Returns the machine's bidder as of its last refresh, or null if it never was eligible.
     [[nodiscard]] bidder *find(const std::string &machine);
 
   private:
-    // The time until a machine that may get work is up; nothing: it may not get any.
+    /// Returns the time until the machine is up, or nothing if it may not get work.
     [[nodiscard]] std::optional<seconds> time_until_up(const workers::machine &machine,
                                                        time_point now) const;
     void refresh(bidder &entry, time_point now);
@@ -32,7 +34,7 @@
 
     const settings::settings &settings_;
     model::cluster_state &state_;
-    std::map<std::string, bidder> bidders_; // by machine, as last worked out
+    std::map<std::string, bidder> bidders_; // by machine name
 };
 
 } // namespace spindlecroft::planning
--- a/src/planning/placement_rules.cpp
+++ b/src/planning/placement_rules.cpp
@@ -1,4 +1,4 @@
-// Zone, type and spot rules of jobs, and the retries of suspect jobs.
+// Applies the zone, type and spot rules of jobs, and the retry rule of suspect jobs.
 #include "planning/placement_rules.hpp"
 #include <algorithm>
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 namespace {
 
-// Where the job's other tasks are: those presumed anywhere and those queued.
-struct zone_count {
-    std::map<std::string, std::uint32_t> in_zone;
-    std::uint32_t unknown = 0, all = 0;
+// Numbers of the job's other tasks by zone: those that may be on a machine and those in a queue.
+struct zone_counts {
+    std::map<std::string, std::uint32_t> by_zone;
+    std::uint32_t unknown = 0, total = 0;
 
     void add(const model::cluster_state &state, const std::string &machine_name) {
-        ++all;
+        ++total;
         const auto *machine = state.find_machine(machine_name);
-        // Somewhere unknown: it counts against every zone.
+        // A task in an unknown zone counts against every zone.
         if (!machine || machine->zone.empty())
             ++unknown;
         else
-            ++in_zone[machine->zone];
+            ++by_zone[machine->zone];
     }
     [[nodiscard]] std::uint32_t in(const std::string &zone) const {
-        auto found = in_zone.find(zone);
-        return found == in_zone.end() ? 0 : found->second;
+        auto found = by_zone.find(zone);
+        return found == by_zone.end() ? 0 : found->second;
     }
 };
 
-zone_count count_zones(const model::cluster_state &state, const catalog::job &job) {
-    zone_count zones;
+zone_counts count_zones(const model::cluster_state &state, const catalog::job &job) {
+    zone_counts zones;
     if (!job.spec.spread && !job.spec.same_zone)
         return zones;
     for (const auto &[index, attempt] : job.live)
@@ -40,16 +40,16 @@
     return zones;
 }
 
-bool class_allowed(const job_spec &spec, const model::machine_class &kind) {
-    return type_allowed(spec, kind.type) && (!spec.zone || *spec.zone == kind.zone) &&
-           (!kind.spot || spec.spot);
+bool class_allowed(const job_spec &spec, const model::machine_class &candidate) {
+    return type_allowed(spec, candidate.type) && (!spec.zone || *spec.zone == candidate.zone) &&
+           (!candidate.spot || spec.spot);
 }
 
-bool zone_allowed(const catalog::job &job, const zone_count &zones, const std::string &zone) {
-    auto known = zones.in(zone);
-    if (job.spec.same_zone && known != zones.all)
+bool zone_allowed(const catalog::job &job, const zone_counts &zones, const std::string &zone) {
+    auto in_this_zone = zones.in(zone);
+    if (job.spec.same_zone && in_this_zone != zones.total)
         return false;
-    return !job.spec.spread || known + zones.unknown < job.zone_cap();
+    return !job.spec.spread || in_this_zone + zones.unknown < job.zone_cap();
 }
 
 } // namespace
@@ -62,9 +62,9 @@
 allowed_classes allowed_classes_for(const model::cluster_state &state, const catalog::job &job) {
     auto zones = count_zones(state, job);
     allowed_classes allowed;
-    for (const auto &kind : state.machine_classes())
-        allowed.push_back(static_cast<char>(class_allowed(job.spec, kind) &&
-                                            zone_allowed(job, zones, kind.zone)));
+    for (const auto &candidate : state.machine_classes())
+        allowed.push_back(static_cast<char>(class_allowed(job.spec, candidate) &&
+                                            zone_allowed(job, zones, candidate.zone)));
     return allowed;
 }
 
--- a/src/planning/placement_rules.hpp
+++ b/src/planning/placement_rules.hpp
@@ -1,4 +1,4 @@
-// Where and when one more task of a job may be placed, whatever machines bid for it.
+// Rules for where and when one more task of a job may be placed, independent of the bids.
 #pragma once
 #include "model/cluster_state.hpp"
 #include <string>
@@ -6,18 +6,20 @@
 
 namespace spindlecroft::planning {
 
-// For each of cluster_state::machine_classes(), in that order: whether a task may be there. Bids
-// look at this for every machine, so it is decided once for each class.
+/// For each of cluster_state::machine_classes(), in that order, whether a task may run on machines
+/// of the class. Bids check this for every machine, so it is computed once for each class.
 using allowed_classes = std::vector<char>;
 
-// The job may run on machines of this type.
+/// Returns whether the job may run on machines of this type.
 [[nodiscard]] bool type_allowed(const job_spec &spec, const std::string &type);
 
-// The classes allowed for one more task of the job, by its own rules and its other tasks' zones.
+/// Returns the classes allowed for one more task of the job, by the job's own rules and the zones
+/// of its other tasks.
 [[nodiscard]] allowed_classes allowed_classes_for(const model::cluster_state &state,
                                                   const catalog::job &job);
 
-// The job has a task that may be placed at this time. A suspect job is retried one task at a time.
+/// Returns whether the job has a task that may be placed now. A suspect job is retried one task at
+/// a time.
 [[nodiscard]] bool may_place(const model::cluster_state &state, const catalog::job &job,
                              time_point now);
 
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -1,5 +1,5 @@
-// Stops running work for other work: for a team's guarantee, and for queued work of higher priority
-// (PROTOCOL, "Preemption").
+// Stops running tasks in favour of others: for a team's guarantee, and for queued tasks of higher
+// priority (PROTOCOL, "Preemption").
 #pragma once
 #include "model/cluster_state.hpp"
 #include "planning/bidder.hpp"
@@ -11,50 +11,54 @@
 
 namespace spindlecroft::planning {
 
-// The time to save a checkpoint that a stopped task gets. Work that does not save would only run on
-// for nothing.
+/// Returns the grace period in which a stopped task may save a checkpoint. It is 0 for tasks
+/// without checkpoints: the progress they would make in it is lost anyway.
 [[nodiscard]] seconds stop_grace(const job_spec &spec);
 
-// What runs on a machine, as seen by the tasks in its queue.
+/// The tasks on a machine, as its queue sees them.
 struct machine_load {
-    bidding::resources free; // not held by any task
-    std::vector<catalog::attempt *>
-        preemptible;                // running work that may be below others in priority
-    bool has_stopping_task = false; // a task there is being stopped already
+    /// Resources that no task holds.
+    bidding::resources free;
+    /// Running tasks below critical priority that are not being stopped.
+    std::vector<catalog::attempt *> preemptible;
+    /// Whether a task on the machine is being stopped already.
+    bool has_stopping_task = false;
 };
 
+/// Decides which running tasks are preempted, and requests their stop.
 class preemption {
   public:
     preemption(model::cluster_state &state, quota_accounting &quota, bidder_table &bidders)
         : state_(state), quota_(quota), bidders_(bidders) {}
 
-    // Forgets what could be stopped in the round before.
+    /// Discards the candidates of the previous round.
     void begin_round();
-    // Stops the latest work that another team runs beyond its own guarantee for a task of the job.
-    // Returns the machine on which it was stopped; null if there is none.
+    /// Preempts, for a task of the job, the latest task that another team runs beyond its own
+    /// guarantee. Returns the bidder of the machine it ran on, or null if there is no such task.
     bidder *preempt_for_guarantee(const catalog::job &job,
                                   const std::vector<bidder *> &round_bidders, time_point now);
-    // Stops work of lower priority for a queued task that does not fit. True: the task may start
-    // behind the commands to stop, and the load counts them as gone.
+    /// Preempts tasks of lower priority for a queued task that does not fit. Returns whether the
+    /// queued task may start right after the stop commands; the load then no longer includes the
+    /// preempted tasks.
     bool preempt_for_queued(machine_load &load, const job_spec &spec, priority_class priority);
-    // The tasks stopped for others so far.
+    /// Returns the number of tasks preempted so far.
     [[nodiscard]] std::uint64_t preempted_tasks() const { return preempted_tasks_; }
 
   private:
-    // Running work of an array that could be stopped for a guarantee.
+    /// A running array task that could be preempted for a guarantee.
     struct candidate {
         time_point created_at{};
         catalog::task_ref task;
     };
     void collect_candidates(const std::vector<bidder *> &round_bidders);
-    // The candidate's attempt, if a task of the job may take its place now.
+    /// Returns the candidate's attempt if a task of the job may take its place now, else null.
     [[nodiscard]] catalog::attempt *preemptible_attempt(const job_spec &spec,
-                                                        const candidate &which);
-    // The machine of the attempt, if it may take a task of the job.
-    [[nodiscard]] bidder *bidder_for(const job_spec &spec, const catalog::attempt &which,
+                                                        const candidate &victim);
+    /// Returns the bidder of the attempt's machine if it may take a task of the job, else null.
+    [[nodiscard]] bidder *bidder_for(const job_spec &spec, const catalog::attempt &victim,
                                      const allowed_classes &allowed, time_point now);
     void sort_latest_of_lowest_first(std::vector<catalog::attempt *> &attempts) const;
-    void preempt(catalog::attempt &which, seconds grace);
+    void preempt(catalog::attempt &victim, seconds grace);
 
     model::cluster_state &state_;
     quota_accounting &quota_;
--- a/src/planning/queue_starter.cpp
+++ b/src/planning/queue_starter.cpp
@@ -1,4 +1,4 @@
-// From worker queues to attempts.
+// Starts queued tasks in their order while they fit or others can be preempted for them.
 #include "planning/queue_starter.hpp"
 
 namespace spindlecroft::planning {
@@ -32,14 +32,14 @@
 machine_load queue_starter::compute_load(workers::machine &machine) {
     machine_load load;
     load.free = {machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
-    state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &held) {
-        if (!held.holds_resources())
+    state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
+        if (!attempt.holds_resources())
             return;
         load.free.allocate(job.spec);
-        if (held.stop_wanted)
+        if (attempt.stop_wanted)
             load.has_stopping_task = true;
-        else if (job.spec.priority > priority_class::critical && held.possibly_running())
-            load.preemptible.push_back(&held);
+        else if (job.spec.priority > priority_class::critical && attempt.possibly_running())
+            load.preemptible.push_back(&attempt);
     });
     return load;
 }
--- a/src/planning/queue_starter.hpp
+++ b/src/planning/queue_starter.hpp
@@ -1,4 +1,4 @@
-// Turns the tasks in a machine's queue into attempts as soon as they fit.
+// Creates attempts for the tasks in a machine's queue as soon as they fit on it.
 #pragma once
 #include "model/cluster_state.hpp"
 #include "planning/preemption.hpp"
@@ -6,18 +6,20 @@
 
 namespace spindlecroft::planning {
 
-// Called for each new attempt: no placement record covers it yet.
+/// Called for each new attempt, which no placement record covers yet.
 using attempt_created_callback =
     std::function<void(const catalog::task_ref &task, job_shape shape)>;
 
+/// Starts queued tasks on their machines.
 class queue_starter {
   public:
     queue_starter(model::cluster_state &state, preemption &preempting,
                   attempt_created_callback on_created)
         : state_(state), preemption_(preempting), on_created_(std::move(on_created)) {}
 
-    // Looks at the queues on whose machines something changed. At full size most queues wait for
-    // the same task to end as in the round before.
+    /// Starts what fits from the queues of the machines that changed since their queue was last
+    /// examined. At full size most queues still wait for the same task to end as in the previous
+    /// round, so unchanged machines are skipped.
     void start_all(time_point now);
 
   private:
--- a/src/planning/quota_accounting.cpp
+++ b/src/planning/quota_accounting.cpp
@@ -1,4 +1,4 @@
-// Teams' use, and which jobs their guarantees cover.
+// Counts the teams' usage, and determines which jobs their guarantees cover.
 #include "planning/quota_accounting.hpp"
 #include <algorithm>
 #include <vector>
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr double tolerance = 1e-9; // amounts are decimal, sums of them are not exact
+// Amounts are decimal, so sums of them are not exact.
+constexpr double tolerance = 1e-9;
 
 } // namespace
 
@@ -20,16 +21,16 @@
     teams_.clear_usage();
     stopping_cpus_.clear();
     for (const auto &[id, job] : state_.jobs()) {
-        int held = static_cast<int>(job.queued.size());
+        int task_count = static_cast<int>(job.queued.size());
         for (const auto &[index, attempt] : job.live) {
             if (!attempt.holds_resources())
                 continue;
-            ++held;
+            ++task_count;
             if (attempt.stop_wanted)
                 task_stopping(job.spec);
         }
-        if (held > 0)
-            teams_.add(job.spec.team, job.spec, held);
+        if (task_count > 0)
+            teams_.add(job.spec.team, job.spec, task_count);
     }
 }
 
@@ -38,8 +39,8 @@
                        [](const auto &team) { return team.cpus > 0 || team.gpus > 0; });
 }
 
-// Guards against stopping work for nothing: a job that does not fit its team's guarantee as a whole
-// waits for others anyway, and each task that is stopped for it has run in vain.
+// A job that does not fit its team's guarantee as a whole is not covered: it would wait for other
+// jobs anyway, and preempting tasks for it would waste their progress.
 void quota_accounting::mark_guaranteed() {
     if (!any_guarantee())
         return;
@@ -49,23 +50,23 @@
             by_age.push_back(&job);
     std::sort(by_age.begin(), by_age.end(),
               [](const auto *left, const auto *right) { return left->ready_at < right->ready_at; });
-    std::map<std::string, fairness::usage> asked; // by the team's jobs so far
+    std::map<std::string, fairness::usage> requested; // by team, the sum over its jobs so far
     for (auto *job : by_age) {
         const auto &spec = job->spec;
-        auto &sum = asked[spec.team];
-        sum.cpus += spec.tasks * spec.cpus;
-        sum.gpus += spec.tasks * spec.gpus;
+        auto &team_sum = requested[spec.team];
+        team_sum.cpus += spec.tasks * spec.cpus;
+        team_sum.gpus += spec.tasks * spec.gpus;
         const auto *team = teams_.find(spec.team);
-        job->guaranteed =
-            team && sum.cpus <= team->cpus + tolerance && sum.gpus <= team->gpus + tolerance;
+        job->guaranteed = team && team_sum.cpus <= team->cpus + tolerance &&
+                          team_sum.gpus <= team->gpus + tolerance;
     }
 }
 
 double quota_accounting::cpus_beyond_guarantee(const std::string &team) const {
-    const auto *quota = teams_.find(team);
+    const auto *team_settings = teams_.find(team);
     auto stopping = stopping_cpus_.find(team);
     return teams_.usage_of(team).cpus - (stopping == stopping_cpus_.end() ? 0 : stopping->second) -
-           (quota ? quota->cpus : 0);
+           (team_settings ? team_settings->cpus : 0);
 }
 
 bool quota_accounting::others_beyond_guarantee(const job_spec &spec) const {
--- a/src/planning/quota_accounting.hpp
+++ b/src/planning/quota_accounting.hpp
@@ -1,4 +1,4 @@
-// What each team uses of its guarantee and limit in a round of bids.
+// Usage of the teams' guarantees and limits in a planning round.
 #pragma once
 #include "fairness/team_queues.hpp"
 #include "model/cluster_state.hpp"
@@ -8,20 +8,22 @@
 
 namespace spindlecroft::planning {
 
+/// Counts the resources that each team uses, and marks the jobs that its guarantee covers.
 class quota_accounting {
   public:
     quota_accounting(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state), teams_(settings.teams) {}
 
-    // Counts what the teams hold now, and marks the jobs that fit their team's guarantee.
+    /// Counts the teams' current usage and marks the jobs that fit their team's guarantee.
     void begin_round();
-    // One more task of the job is queued.
+    /// Adds one queued task of the job to its team's usage.
     void task_queued(const job_spec &spec) { teams_.add(spec.team, spec); }
-    // A running task of the job is being stopped: its cpus are about to be free.
+    /// Records that a running task of the job is being stopped, which will free its CPUs.
     void task_stopping(const job_spec &spec) { stopping_cpus_[spec.team] += spec.cpus; }
-    // The cpus that the team uses beyond its guarantee; those about to be free don't count.
+    /// Returns the CPUs that the team uses beyond its guarantee, without those of tasks that are
+    /// being stopped. Negative for a team that uses less than its guarantee.
     [[nodiscard]] double cpus_beyond_guarantee(const std::string &team) const;
-    // Some other team uses so much beyond its guarantee that such a task could take its place.
+    /// Returns whether another team uses enough CPUs beyond its guarantee for such a task.
     [[nodiscard]] bool others_beyond_guarantee(const job_spec &spec) const;
     [[nodiscard]] const fairness::team_queues &teams() const { return teams_; }
 
@@ -33,7 +35,7 @@
     const settings::settings &settings_;
     model::cluster_state &state_;
     fairness::team_queues teams_;
-    std::map<std::string, double> stopping_cpus_; // by team, this round
+    std::map<std::string, double> stopping_cpus_; // by team, in this round
 };
 
 } // namespace spindlecroft::planning
--- a/src/planning/round_planner.cpp
+++ b/src/planning/round_planner.cpp
@@ -1,4 +1,4 @@
-// The steps of a round.
+// Runs the steps of a planning round.
 #include "planning/round_planner.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -8,18 +8,16 @@
 
 namespace {
 
-namespace c = constants;
-
 constexpr std::array by_priority{priority_class::critical, priority_class::high,
                                  priority_class::normal, priority_class::low};
 
-// A team's claim to the next turn: first whoever is within its guarantee, then who uses least of
-// its share.
-struct claim {
-    bool beyond_guarantee = false;
+// Orders the teams for the next turn: first those within their guarantee, then those that use the
+// smallest part of their share.
+struct team_rank {
+    bool is_beyond_guarantee = false;
     double share_used = 0;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted operator<=>.
-    auto operator<=>(const claim &) const = default;
+    auto operator<=>(const team_rank &) const = default;
 };
 
 } // namespace
@@ -29,11 +27,11 @@
     : settings_(settings), state_(state), quota_(settings, state), bidders_(settings, state),
       preemption_(state, quota_, bidders_), starter_(state, preemption_, std::move(on_created)) {}
 
-// A machine has nothing in its queue while tasks wait in queues elsewhere: all of those are bid
-// again. Bidding again only as many as the idle machines hold left replicas in the queues of
-// machines that boot late, and queues out of their team's order.
+// All queued tasks are bid for again. When only as many as fit on the idle machines were bid for
+// again, replicas stayed in the queues of machines that booted late, and the queues no longer
+// followed their team's order.
 void round_planner::rebid_queued(time_point now) {
-    if (!elapsed(last_rebid_, c::idle_rebid, now) || !has_idle_machine_while_tasks_wait())
+    if (!elapsed(last_rebid_, constants::idle_rebid, now) || !has_idle_machine_while_tasks_wait())
         return;
     last_rebid_ = now;
     for (auto &[name, machine] : state_.machines())
@@ -42,14 +40,14 @@
 }
 
 bool round_planner::has_idle_machine_while_tasks_wait() const {
-    bool waiting = false, idle = false;
+    bool has_waiting = false, has_idle = false;
     for (const auto &[name, machine] : state_.machines()) {
         if (!machine.queue.empty())
-            waiting = true;
+            has_waiting = true;
         else if (machine.up && machine.usable() && !machine.silent)
-            idle = true;
+            has_idle = true;
     }
-    return waiting && idle;
+    return has_waiting && has_idle;
 }
 
 void round_planner::plan(time_point now) {
@@ -66,7 +64,7 @@
                                         time_point now) {
     auto teams = collect_turns(priority, round, now);
     while (!teams.empty()) {
-        if (++turns_taken > c::bids_per_round) {
+        if (++turns_taken > constants::bids_per_round) {
             state_.request_planning();
             return;
         }
@@ -101,32 +99,33 @@
 
 round_planner::turns_by_team::iterator round_planner::next_team(turns_by_team &teams) const {
     auto first = teams.end();
-    claim best;
+    team_rank best;
     for (auto team = teams.begin(); team != teams.end(); ++team) {
         const auto &spec = team->second.back().job->spec;
-        claim own{!quota_.teams().within_guarantee(spec), quota_.teams().share_used(team->first)};
-        if (first == teams.end() || own < best) {
+        team_rank rank{!quota_.teams().within_guarantee(spec),
+                       quota_.teams().share_used(team->first)};
+        if (first == teams.end() || rank < best) {
             first = team;
-            best = own;
+            best = rank;
         }
     }
     return first;
 }
 
-// The task goes into the winner's queue, and the next bid in the same round sees it there.
+// Adds the task to the winner's queue, where the next bids of the same round include it.
 bool round_planner::place_one(catalog::job &job, bid_round &round, time_point now) {
     if (job.waiting() == 0)
         return false;
-    auto where = choose_machine(job, round, now);
-    if (!where)
+    auto target = choose_machine(job, round, now);
+    if (!target)
         return false;
     std::uint32_t index = 0;
     if (!job.pop_waiting(index))
         return false;
-    auto &winner = *where->bidder;
+    auto &winner = *target->bidder;
     seconds estimate =
-        state_.expected_run_time(job) / std::max(winner.machine->speed, c::speed_floor);
-    enqueue(*where, job, index, estimate);
+        state_.expected_run_time(job) / std::max(winner.machine->speed, constants::speed_floor);
+    enqueue(*target, job, index, estimate);
     round.task_queued(winner, job, estimate);
     quota_.task_queued(job.spec);
     return true;
@@ -135,26 +134,26 @@
 std::optional<round_planner::placement>
 round_planner::choose_machine(const catalog::job &job, bid_round &round, time_point now) {
     auto best = round.best_bid(job, now);
-    bool waits_too_long = !best || best->queue_time > c::guarantee_wait;
-    // A team's guaranteed work finds no free machine soon: others make way.
+    bool waits_too_long = !best || best->queue_time > constants::guarantee_wait;
+    // A guaranteed task that would wait too long for a machine may preempt a task of another team.
     if (waits_too_long && job.guaranteed && quota_.teams().within_guarantee(job.spec))
-        if (auto *machine = preemption_.preempt_for_guarantee(job, round.bidders(), now))
-            return placement{machine, true};
+        if (auto *bidder = preemption_.preempt_for_guarantee(job, round.bidders(), now))
+            return placement{bidder, true};
     if (!best)
         return {};
     return placement{best->bidder, false};
 }
 
-void round_planner::enqueue(const placement &where, catalog::job &job, std::uint32_t index,
+void round_planner::enqueue(const placement &target, catalog::job &job, std::uint32_t index,
                             seconds estimate) {
     const auto &spec = job.spec;
-    auto &machine = *where.bidder->machine;
-    // First in, first out among equals; higher priority goes before, and so does work for which
-    // others were stopped.
+    auto &machine = *target.bidder->machine;
+    // Higher priority goes first, and tasks of equal priority are first in, first out, except that
+    // a task for which another was preempted goes ahead of its equals.
     auto position =
         std::find_if(machine.queue.begin(), machine.queue.end(), [&](const auto &queued) {
-            return where.ahead_of_equals ? queued.priority >= spec.priority
-                                         : queued.priority > spec.priority;
+            return target.ahead_of_equals ? queued.priority >= spec.priority
+                                          : queued.priority > spec.priority;
         });
     machine.queue.insert(position, workers::queued_task{{spec.id, index}, spec.priority, estimate});
     machine.startable = true;
--- a/src/planning/round_planner.hpp
+++ b/src/planning/round_planner.hpp
@@ -1,5 +1,5 @@
-// One round of planning: tasks go to the machines with the lowest bids, team by team in turn, and
-// what fits at once becomes attempts (docs/design.md, "The ordinary path").
+// One planning round: places tasks on the machines with the lowest bids, team by team in turn, and
+// creates attempts for the tasks that fit at once (docs/design.md, "The ordinary path").
 #pragma once
 #include "model/cluster_state.hpp"
 #include "planning/bid_round.hpp"
@@ -17,19 +17,20 @@
 
 namespace spindlecroft::planning {
 
+/// Plans the placement of waiting tasks.
 class round_planner {
   public:
     round_planner(const settings::settings &settings, model::cluster_state &state,
                   attempt_created_callback on_created);
-    // The parts refer to one another.
+    // Not copyable: the members refer to one another.
     ~round_planner() = default;
     round_planner(const round_planner &) = delete;
     round_planner &operator=(const round_planner &) = delete;
 
-    // Empties the worker queues, so that their tasks are bid again, if a machine stands idle while
-    // tasks wait elsewhere.
+    /// Empties all worker queues, so that their tasks are bid for again, if a machine is idle while
+    /// tasks wait in the queues of others.
     void rebid_queued(time_point now);
-    // Bids for waiting tasks, then starts what fits.
+    /// Bids for waiting tasks, then starts the queued tasks that fit.
     void plan(time_point now);
 
     [[nodiscard]] bidder_table &bidders() { return bidders_; }
@@ -38,10 +39,12 @@
 
   private:
     using turns_by_team = std::map<std::string, std::vector<service_turn>>;
-    // Where a task goes.
+    /// The machine whose queue a task joins.
     struct placement {
         planning::bidder *bidder = nullptr;
-        bool ahead_of_equals = false; // other work was stopped for it
+        /// Whether the task goes ahead of queued tasks of equal priority, because a running task
+        /// was preempted for it.
+        bool ahead_of_equals = false;
     };
 
     [[nodiscard]] bool has_idle_machine_while_tasks_wait() const;
@@ -53,7 +56,7 @@
     bool place_one(catalog::job &job, bid_round &round, time_point now);
     [[nodiscard]] std::optional<placement> choose_machine(const catalog::job &job, bid_round &round,
                                                           time_point now);
-    void enqueue(const placement &where, catalog::job &job, std::uint32_t index, seconds estimate);
+    void enqueue(const placement &target, catalog::job &job, std::uint32_t index, seconds estimate);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
--- a/src/planning/service_order.cpp
+++ b/src/planning/service_order.cpp
@@ -1,4 +1,4 @@
-// Due times and remaining work of waiting jobs, and the order that follows from them.
+// Computes the due times and remaining work of waiting jobs, and orders the jobs by them.
 #include "planning/service_order.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -7,28 +7,27 @@
 
 namespace {
 
-namespace c = constants;
+constexpr double unlimited_slots = 1e9;
+// Average share of its run time that a running task still has to run.
+constexpr double running_task_remaining_share = 0.5;
 
-constexpr double no_slot_limit = 1e9;
-constexpr double running_task_left = 0.5; // of a running task's time, on average
-
-// Collects the times until a job should be complete.
-class due_times {
+// Collects the times left until each moment by which a job should be complete.
+class due_time_collector {
   public:
-    due_times(const catalog::job &job, time_point now)
-        : waited_(now - job.ready_at), late_ready_(job.ready_at - job.accepted_at) {}
+    due_time_collector(const catalog::job &job, time_point now)
+        : waited_(now - job.ready_at), ready_delay_(job.ready_at - job.accepted_at) {}
 
-    // Counted from when the job was ready.
-    void add_since_ready(seconds within) {
-        if (within > seconds{})
-            due_in_.push_back(within - waited_);
+    // Adds a limit that counts from the moment at which the job became ready.
+    void add_since_ready(seconds limit) {
+        if (limit > seconds{})
+            due_in_.push_back(limit - waited_);
     }
-    // Counted from the submission, as deadlines are.
-    void add_deadline(seconds within) {
-        if (within > seconds{})
-            due_in_.push_back(within - late_ready_ - waited_);
+    // Adds a limit that counts from the submission of the job, as deadlines do.
+    void add_deadline(seconds limit) {
+        if (limit > seconds{})
+            due_in_.push_back(limit - ready_delay_ - waited_);
     }
-    void add_left(seconds left) { due_in_.push_back(left); }
+    void add_time_left(seconds left) { due_in_.push_back(left); }
     [[nodiscard]] bool empty() const { return due_in_.empty(); }
     [[nodiscard]] std::vector<seconds> sorted() && {
         std::sort(due_in_.begin(), due_in_.end());
@@ -36,20 +35,20 @@
     }
 
   private:
-    seconds waited_, late_ready_;
+    seconds waited_, ready_delay_;
     std::vector<seconds> due_in_;
 };
 
-std::vector<seconds> due_times_of(const settings::settings &settings, const catalog::job &job,
-                                  seconds expected, time_point now) {
-    due_times due(job, now);
+std::vector<seconds> times_until_due(const settings::settings &settings, const catalog::job &job,
+                                     seconds expected, time_point now) {
+    due_time_collector due(job, now);
     auto deadline = job.spec.deadline.value_or(seconds{});
     due.add_deadline(deadline);
     if (job.inherited_first_due) {
-        due.add_left(*job.inherited_first_due - now);
-        due.add_left(*job.inherited_last_due - now);
+        due.add_time_left(*job.inherited_first_due - now);
+        due.add_time_left(*job.inherited_last_due - now);
     }
-    // What is aimed at for its class: a job late for the first aim can be in time for the next.
+    // The objectives of the job's class: a job that is late for one may still meet the next.
     for (const auto &objective : settings.objectives) {
         if (objective.job_class != job.spec.job_class)
             continue;
@@ -59,7 +58,7 @@
                                                          : objective.within);
     }
     if (due.empty())
-        due.add_since_ready(c::default_due);
+        due.add_since_ready(constants::default_due);
     return std::move(due).sorted();
 }
 
@@ -70,26 +69,26 @@
                                        time_point now) {
     seconds expected = state.expected_run_time(job);
     fairness::waiting_job waiting;
-    waiting.due_in = due_times_of(settings, job, expected, now);
+    waiting.due_in = times_until_due(settings, job, expected, now);
     waiting.wait_time = now - job.ready_at;
     waiting.has_started = job.done_seen > 0 || !job.live.empty();
     waiting.min_completion_time = expected;
-    // Those done, but not yet durably, hold nothing.
+    // Attempts of tasks that are done, but not yet durably, occupy no slot.
     waiting.occupied_slots =
         static_cast<double>(job.live.size()) - static_cast<double>(job.done_seen - job.done_count);
     waiting.remaining_work = expected * (job.waiting() + static_cast<double>(job.queued.size()) +
-                                         running_task_left * waiting.occupied_slots);
+                                         running_task_remaining_share * waiting.occupied_slots);
     return waiting;
 }
 
 double slots_for(const job_spec &spec, const std::vector<bidder *> &bidders,
                  const settings::team *team) {
-    double limit = no_slot_limit;
+    double limit = unlimited_slots;
     if (team && team->cpus_max > 0 && spec.cpus > 0)
         limit = team->cpus_max / spec.cpus;
     double slots = 0;
-    for (const auto *machine : bidders)
-        slots += machine->array_capacity.slots(spec);
+    for (const auto *bidder : bidders)
+        slots += bidder->array_capacity.slots(spec);
     return std::min(slots, limit);
 }
 
--- a/src/planning/service_order.hpp
+++ b/src/planning/service_order.hpp
@@ -1,4 +1,4 @@
-// In which order a team's waiting jobs of one priority are served in a round.
+// The order in which a team's waiting jobs of one priority are served in a planning round.
 #pragma once
 #include "fairness/team_order.hpp"
 #include "model/cluster_state.hpp"
@@ -9,23 +9,26 @@
 
 namespace spindlecroft::planning {
 
-// A job's turn in a round of bids.
+/// A job's turn in a planning round.
 struct service_turn {
     catalog::job *job = nullptr;
-    std::uint32_t max_tasks = fairness::all_tasks; // tasks in this turn
+    /// Maximum number of tasks placed in this turn.
+    std::uint32_t max_tasks = fairness::all_tasks;
 };
 
-// What the order depends on: the job's due times, its remaining work and how long it waited.
+/// Returns the properties of the job that its place in the order depends on: its due times, its
+/// remaining work and its wait time.
 [[nodiscard]] fairness::waiting_job make_waiting_job(const settings::settings &settings,
                                                      const model::cluster_state &state,
                                                      const catalog::job &job, time_point now);
 
-// How many tasks like the job's may run at once, by the machines and by the team's limit, if any.
+/// Returns how many tasks like the job's may run at once on the machines, within the team's CPU
+/// limit. team: null if unknown.
 [[nodiscard]] double slots_for(const job_spec &spec, const std::vector<bidder *> &bidders,
                                const settings::team *team);
 
-// Orders one team's turns, each of another job. The first to be served comes last, so that served
-// turns are taken from the back.
+/// Orders the turns of one team, each of a different job. The turn to be served first comes last,
+/// so that served turns are removed from the back.
 void order_turns(std::vector<service_turn> &turns, const settings::settings &settings,
                  const model::cluster_state &state, double slots, time_point now);
 
--- a/tests/planning_parts_test.cpp
+++ b/tests/planning_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of planning, each alone on a small cluster.
+// Tests each part of planning by itself on a small cluster.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "planning/bid_round.hpp"
@@ -25,8 +25,8 @@
     return settings;
 }
 
-// Machines that are up, jobs, and tasks that run.
-struct cluster {
+// The state and the planning parts of a cluster whose machines are up.
+struct planning_cluster {
     settings::settings settings = three_teams();
     model::cluster_state state{settings, test::small_types()};
     planning::quota_accounting quota{settings, state};
@@ -73,69 +73,69 @@
 };
 
 struct placement_rules : testing::Test {
-    cluster all;
-    // The zones of the classes that are allowed, in the order of the classes.
+    planning_cluster cluster;
+    // Returns the zones of the allowed classes, in the order of the classes.
     std::vector<std::string> zones_for(const catalog::job &job) const {
-        auto allowed = planning::allowed_classes_for(all.state, job);
+        auto allowed = planning::allowed_classes_for(cluster.state, job);
         std::vector<std::string> zones;
         for (std::size_t i = 0; i < allowed.size(); ++i)
             if (allowed[i])
-                zones.push_back(all.state.machine_classes()[i].zone);
+                zones.push_back(cluster.state.machine_classes()[i].zone);
         return zones;
     }
     void SetUp() override {
-        all.add_machine("i-1", "a");
-        all.add_machine("i-2", "b");
+        cluster.add_machine("i-1", "a");
+        cluster.add_machine("i-2", "b");
     }
 };
 using zones = std::vector<std::string>;
 
 struct bid_rounds : testing::Test {
-    cluster all;
+    planning_cluster cluster;
 };
-struct guarantees : testing::Test {
-    cluster all;
+struct preemption_for_guarantees : testing::Test {
+    planning_cluster cluster;
 };
 struct service_order : testing::Test {
-    cluster all;
+    planning_cluster cluster;
 };
-struct queues : testing::Test {
-    cluster all;
+struct queue_starts : testing::Test {
+    planning_cluster cluster;
     std::vector<catalog::task_ref> created;
     planning::queue_starter starter{
-        all.state, all.preemption,
+        cluster.state, cluster.preemption,
         [this](const catalog::task_ref &task, job_shape) { created.push_back(task); }};
 };
 
 } // namespace
 
-TEST_F(placement_rules, a_job_without_rules_may_be_anywhere) {
-    EXPECT_EQ(zones_for(all.add_job("job-1", "blue", 2)), (zones{"a", "b"}));
+TEST_F(placement_rules, a_job_without_rules_may_run_in_any_zone) {
+    EXPECT_EQ(zones_for(cluster.add_job("job-1", "blue", 2)), (zones{"a", "b"}));
 }
 
-TEST_F(placement_rules, a_job_may_name_its_zone_and_its_types) {
+TEST_F(placement_rules, a_job_may_require_a_zone_and_machine_types) {
     auto spec = test::small_job("job-1");
     spec.zone = "b";
-    EXPECT_EQ(zones_for(all.add_job(spec)), zones{"b"});
+    EXPECT_EQ(zones_for(cluster.add_job(spec)), zones{"b"});
     spec.types = {"small"};
-    EXPECT_EQ(zones_for(all.add_job(spec)), zones{});
+    EXPECT_EQ(zones_for(cluster.add_job(spec)), zones{});
 }
 
-TEST_F(placement_rules, tasks_of_one_zone_follow_the_first) {
+TEST_F(placement_rules, same_zone_tasks_run_in_the_zone_of_the_first) {
     auto spec = test::small_job("job-1");
     spec.tasks = 3;
     spec.same_zone = true;
-    auto &job = all.add_job(spec);
+    auto &job = cluster.add_job(spec);
     EXPECT_EQ(zones_for(job), (zones{"a", "b"}));
-    all.run_next_task(job, "i-2");
+    cluster.run_next_task(job, "i-2");
     EXPECT_EQ(zones_for(job), zones{"b"});
 }
 
-TEST_F(placement_rules, half_of_a_spread_job_may_be_in_one_zone) {
+TEST_F(placement_rules, at_most_half_of_a_spread_job_runs_in_one_zone) {
     auto spec = test::small_job("job-1");
     spec.tasks = 2;
     spec.spread = true;
-    auto &job = all.add_job(spec);
+    auto &job = cluster.add_job(spec);
     job.queued[1] = "i-1";
     EXPECT_EQ(zones_for(job), zones{"b"});
 }
@@ -144,35 +144,35 @@
     auto spec = test::small_job("job-1");
     spec.tasks = 2;
     spec.spread = true;
-    auto &job = all.add_job(spec);
+    auto &job = cluster.add_job(spec);
     job.queued[1] = "i-gone";
     EXPECT_EQ(zones_for(job), zones{});
 }
 
-TEST_F(bid_rounds, of_equal_bids_the_first_wins) {
-    all.add_machine("i-2");
-    all.add_machine("i-1");
-    auto round = all.begin_round();
-    auto best = round.best_bid(all.add_job("job-1", "blue", 2), now);
+TEST_F(bid_rounds, the_first_of_equal_bids_wins) {
+    cluster.add_machine("i-2");
+    cluster.add_machine("i-1");
+    auto round = cluster.begin_round();
+    auto best = round.best_bid(cluster.add_job("job-1", "blue", 2), now);
     ASSERT_TRUE(best);
     EXPECT_EQ(best->bidder->machine->name, "i-1");
 }
 
 TEST_F(bid_rounds, the_lowest_bid_wins) {
-    all.add_machine("i-1");
-    all.add_machine("i-2").use_image("img", 1, at(50));
-    auto round = all.begin_round();
-    auto best = round.best_bid(all.add_job("job-1", "blue", 1), now);
+    cluster.add_machine("i-1");
+    cluster.add_machine("i-2").use_image("img", 1, at(50));
+    auto round = cluster.begin_round();
+    auto best = round.best_bid(cluster.add_job("job-1", "blue", 1), now);
     ASSERT_TRUE(best);
-    EXPECT_EQ(best->bidder->machine->name, "i-2") << "it need not fetch the image";
+    EXPECT_EQ(best->bidder->machine->name, "i-2") << "the image is cached there";
     EXPECT_EQ(best->finish_time, 30s);
 }
 
-TEST_F(bid_rounds, a_task_in_its_queue_raises_the_next_bid_of_the_winner) {
-    all.add_machine("i-1", "a", "small");
-    all.add_machine("i-2", "a", "small");
-    auto &job = all.add_job("job-1", "blue", 2);
-    auto round = all.begin_round();
+TEST_F(bid_rounds, a_queued_task_raises_the_next_bid_of_its_machine) {
+    cluster.add_machine("i-1", "a", "small");
+    cluster.add_machine("i-2", "a", "small");
+    auto &job = cluster.add_job("job-1", "blue", 2);
+    auto round = cluster.begin_round();
     auto first = round.best_bid(job, now);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->bidder->machine->name, "i-1");
@@ -182,81 +182,81 @@
     EXPECT_EQ(second->bidder->machine->name, "i-2");
 }
 
-TEST_F(bid_rounds, figures_of_removed_machines_are_forgotten) {
-    all.add_machine("i-1");
-    all.add_machine("i-2");
-    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 2u);
-    all.state.remove_machine("i-1", now);
-    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 1u);
-    EXPECT_EQ(all.bidders.find("i-1"), nullptr);
-    EXPECT_NE(all.bidders.find("i-2"), nullptr);
+TEST_F(bid_rounds, bidders_of_removed_machines_are_removed) {
+    cluster.add_machine("i-1");
+    cluster.add_machine("i-2");
+    EXPECT_EQ(cluster.bidders.eligible_bidders(now).size(), 2u);
+    cluster.state.remove_machine("i-1", now);
+    EXPECT_EQ(cluster.bidders.eligible_bidders(now).size(), 1u);
+    EXPECT_EQ(cluster.bidders.find("i-1"), nullptr);
+    EXPECT_NE(cluster.bidders.find("i-2"), nullptr);
 }
 
-TEST_F(bid_rounds, a_machine_without_new_work_keeps_its_figures) {
-    auto &machine = all.add_machine("i-1");
-    EXPECT_EQ(all.bidders.eligible_bidders(now).size(), 1u);
+TEST_F(bid_rounds, a_machine_that_takes_no_work_keeps_its_bidder) {
+    auto &machine = cluster.add_machine("i-1");
+    EXPECT_EQ(cluster.bidders.eligible_bidders(now).size(), 1u);
     machine.silent = true;
-    EXPECT_TRUE(all.bidders.eligible_bidders(now).empty());
-    EXPECT_NE(all.bidders.find("i-1"), nullptr);
+    EXPECT_TRUE(cluster.bidders.eligible_bidders(now).empty());
+    EXPECT_NE(cluster.bidders.find("i-1"), nullptr);
 }
 
-TEST_F(guarantees, the_latest_work_beyond_another_guarantee_is_stopped) {
-    all.add_machine("i-1");
-    all.add_machine("i-2");
-    auto &within = all.add_job("green-1", "green", 2);
-    auto &beyond = all.add_job("blue-1", "blue", 2);
-    auto &green = all.run_next_task(within, "i-1", at(30));
-    auto &earlier = all.run_next_task(beyond, "i-1", at(10));
-    auto &later = all.run_next_task(beyond, "i-2", at(20));
-    auto &job = all.add_job("red-1", "red", 1);
-    auto round = all.begin_round();
+TEST_F(preemption_for_guarantees, the_latest_task_beyond_its_teams_guarantee_is_preempted) {
+    cluster.add_machine("i-1");
+    cluster.add_machine("i-2");
+    auto &within = cluster.add_job("green-1", "green", 2);
+    auto &beyond = cluster.add_job("blue-1", "blue", 2);
+    auto &green = cluster.run_next_task(within, "i-1", at(30));
+    auto &earlier = cluster.run_next_task(beyond, "i-1", at(10));
+    auto &later = cluster.run_next_task(beyond, "i-2", at(20));
+    auto &job = cluster.add_job("red-1", "red", 1);
+    auto round = cluster.begin_round();
     EXPECT_TRUE(job.guaranteed);
-    auto *machine = all.preemption.preempt_for_guarantee(job, round.bidders(), now);
+    auto *machine = cluster.preemption.preempt_for_guarantee(job, round.bidders(), now);
     ASSERT_NE(machine, nullptr);
     EXPECT_EQ(machine->machine->name, "i-2");
     EXPECT_TRUE(later.stop_wanted);
     EXPECT_FALSE(earlier.stop_wanted);
     EXPECT_FALSE(green.stop_wanted);
-    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+    EXPECT_EQ(cluster.preemption.preempted_tasks(), 1u);
 }
 
-TEST_F(guarantees, work_within_another_guarantee_goes_on) {
-    all.add_machine("i-1");
-    auto &within = all.add_job("green-1", "green", 2);
-    all.run_next_task(within, "i-1");
-    all.run_next_task(within, "i-1");
-    auto &job = all.add_job("red-1", "red", 1);
-    auto round = all.begin_round();
-    EXPECT_EQ(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
-    EXPECT_EQ(all.preemption.preempted_tasks(), 0u);
+TEST_F(preemption_for_guarantees, tasks_within_their_teams_guarantee_are_not_preempted) {
+    cluster.add_machine("i-1");
+    auto &within = cluster.add_job("green-1", "green", 2);
+    cluster.run_next_task(within, "i-1");
+    cluster.run_next_task(within, "i-1");
+    auto &job = cluster.add_job("red-1", "red", 1);
+    auto round = cluster.begin_round();
+    EXPECT_EQ(cluster.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(cluster.preemption.preempted_tasks(), 0u);
 }
 
-// What is being stopped already is not counted again: else a team would lose more than it has
-// beyond its guarantee.
-TEST_F(guarantees, no_more_is_stopped_than_is_beyond_the_guarantee) {
-    all.add_machine("i-1");
-    auto &beyond = all.add_job("green-1", "green", 3);
+// Tasks that are being stopped must not count as usage beyond the guarantee. Otherwise a team loses
+// more than it uses beyond its guarantee.
+TEST_F(preemption_for_guarantees, no_more_is_preempted_than_exceeds_the_guarantee) {
+    cluster.add_machine("i-1");
+    auto &beyond = cluster.add_job("green-1", "green", 3);
     for (int i = 0; i < 3; ++i)
-        all.run_next_task(beyond, "i-1");
-    auto &job = all.add_job("red-1", "red", 2);
-    auto round = all.begin_round();
-    EXPECT_NE(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
-    EXPECT_EQ(all.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
-    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+        cluster.run_next_task(beyond, "i-1");
+    auto &job = cluster.add_job("red-1", "red", 2);
+    auto round = cluster.begin_round();
+    EXPECT_NE(cluster.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(cluster.preemption.preempt_for_guarantee(job, round.bidders(), now), nullptr);
+    EXPECT_EQ(cluster.preemption.preempted_tasks(), 1u);
 }
 
-TEST_F(guarantees, a_job_larger_than_the_guarantee_is_not_covered) {
-    auto &fits = all.add_job("red-1", "red", 2);
-    auto &exceeds = all.add_job("red-2", "red", 1);
+TEST_F(preemption_for_guarantees, a_job_that_exceeds_its_teams_guarantee_is_not_covered) {
+    auto &fits = cluster.add_job("red-1", "red", 2);
+    auto &exceeds = cluster.add_job("red-2", "red", 1);
     exceeds.ready_at = at(1);
-    all.quota.begin_round();
+    cluster.quota.begin_round();
     EXPECT_TRUE(fits.guaranteed);
     EXPECT_FALSE(exceeds.guaranteed);
 }
 
-TEST_F(queues, tasks_start_while_they_fit) {
-    auto &machine = all.add_machine("i-1", "a", "small");
-    auto &job = all.add_job("job-1", "blue", 2);
+TEST_F(queue_starts, queued_tasks_start_while_they_fit) {
+    auto &machine = cluster.add_machine("i-1", "a", "small");
+    auto &job = cluster.add_job("job-1", "blue", 2);
     for (std::uint32_t i = 0; i < 2; ++i) {
         std::uint32_t index = 0;
         ASSERT_TRUE(job.pop_waiting(index));
@@ -269,14 +269,14 @@
     EXPECT_EQ(machine.queue.size(), 1u);
 }
 
-TEST_F(queues, critical_work_starts_behind_the_stop_of_the_latest_task) {
-    auto &machine = all.add_machine("i-1", "a", "large");
-    auto &lower = all.add_job("blue-1", "blue", 4);
+TEST_F(queue_starts, a_critical_task_preempts_the_latest_task_and_starts_at_once) {
+    auto &machine = cluster.add_machine("i-1", "a", "large");
+    auto &lower = cluster.add_job("blue-1", "blue", 4);
     for (int i = 0; i < 4; ++i)
-        all.run_next_task(lower, "i-1", at(10 + i));
+        cluster.run_next_task(lower, "i-1", at(10 + i));
     auto spec = test::small_job("urgent");
     spec.priority = priority_class::critical;
-    auto &urgent = all.add_job(spec);
+    auto &urgent = cluster.add_job(spec);
     std::uint32_t index = 0;
     ASSERT_TRUE(urgent.pop_waiting(index));
     machine.queue.push_back({{"urgent", index}, priority_class::critical, 30s});
@@ -285,25 +285,25 @@
     EXPECT_EQ(created, (std::vector<catalog::task_ref>{{"urgent", 0}}));
     EXPECT_FALSE(lower.live.at(2).stop_wanted);
     EXPECT_TRUE(lower.live.at(3).stop_wanted);
-    EXPECT_EQ(all.preemption.preempted_tasks(), 1u);
+    EXPECT_EQ(cluster.preemption.preempted_tasks(), 1u);
 }
 
-TEST_F(queues, work_that_saves_is_given_the_time_to) {
+TEST_F(queue_starts, only_tasks_with_checkpoints_get_a_grace_period) {
     auto spec = test::small_job("job-1");
     spec.checkpoint_duration = 5s;
-    EXPECT_EQ(planning::stop_grace(spec), 0s) << "it never saves";
+    EXPECT_EQ(planning::stop_grace(spec), 0s) << "no checkpoint interval";
     spec.checkpoint_interval = 60s;
     EXPECT_EQ(planning::stop_grace(spec), 5s);
 }
 
-TEST_F(service_order, due_times_count_from_the_submission_or_from_when_the_job_was_ready) {
+TEST_F(service_order, deadlines_count_from_submission_and_wait_objectives_from_readiness) {
     auto spec = test::small_job("job-1");
     spec.deadline = 200s;
-    all.settings.objectives = {{"wait", "batch", 0.9, 0, 10s}};
-    auto &job = all.add_job(spec);
+    cluster.settings.objectives = {{"wait", "batch", 0.9, 0, 10s}};
+    auto &job = cluster.add_job(spec);
     job.accepted_at = at(50);
     job.ready_at = at(80);
-    auto waiting = planning::make_waiting_job(all.settings, all.state, job, now);
+    auto waiting = planning::make_waiting_job(cluster.settings, cluster.state, job, now);
     EXPECT_EQ(waiting.due_in, (std::vector<seconds>{20s, 150s}));
     EXPECT_EQ(waiting.wait_time, 20s);
     EXPECT_EQ(waiting.remaining_work, 30s);
--- a/tests/planning_test.cpp
+++ b/tests/planning_test.cpp
@@ -1,4 +1,4 @@
-// Rounds of bids and worker queues at full size.
+// Planning rounds and worker queues with thousands of tasks.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "control/scheduler.hpp"
@@ -8,11 +8,9 @@
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using test::at;
-namespace c = constants;
-
 namespace {
 
-// Machines that have reported, and one array of short tasks that fits on none of them at once.
+// Machines that are up, and one array of short tasks that does not fit on all of them at once.
 struct sweep {
     control::scheduler core{test::small_settings(), test::small_types()};
     int machines;
@@ -20,18 +18,18 @@
     sweep(int machine_count, std::uint32_t tasks) : machines(machine_count) {
         core.begin(at(0), 5, wall_clock{});
         core.loaded(at(0));
-        for (int k = 0; k < machines; ++k)
-            report(k, 1);
-        wire::job_record r;
-        r.spec = test::small_job("job-1");
-        r.spec.tasks = tasks;
-        r.spec.cpus = 0.25;
-        r.spec.memory_gb = 0.4;
-        r.spec.estimate = 4s;
-        core.on_job("job-1", r, 7, at(1));
+        for (int machine = 0; machine < machines; ++machine)
+            send_heartbeat(machine, 1);
+        wire::job_record record;
+        record.spec = test::small_job("job-1");
+        record.spec.tasks = tasks;
+        record.spec.cpus = 0.25;
+        record.spec.memory_gb = 0.4;
+        record.spec.estimate = 4s;
+        core.on_job("job-1", record, 7, at(1));
     }
-    void report(int k, std::uint64_t sequence) {
-        auto name = fmt::format("i-{:03}", k);
+    void send_heartbeat(int machine, std::uint64_t sequence) {
+        auto name = fmt::format("i-{:03}", machine);
         core.on_heartbeat({name, "10.0.0.1:9000", "large", "a", false, 1, sequence, 5, {}, {}},
                           at(1));
     }
@@ -41,24 +39,26 @@
 
 } // namespace
 
-// A sweep of 25,000 tasks once stood in the worker queues as a whole and was bid anew each second:
-// heartbeats were answered too late and 659 tasks were killed by their lease.
+// Without a limit on queued tasks, all 25,000 tasks of a sweep stood in the worker queues and were
+// bid for again each second. Heartbeats were then answered too late, and the workers killed 659
+// tasks when their leases expired.
 TEST(planning, short_tasks_do_not_fill_the_worker_queues) {
-    sweep s(10, 5000);
+    sweep cluster(10, 5000);
     for (auto now = at(2); now < at(12); now += seconds{0.2})
-        s.core.tick(now);
-    EXPECT_EQ(s.placed(), 10u * 64) << "all that fits at once is placed";
-    EXPECT_GT(s.queued(), 0u);
-    EXPECT_LE(s.queued(), 10 * c::queue_tasks);
+        cluster.core.tick(now);
+    EXPECT_EQ(cluster.placed(), 10u * 64) << "all that fits at once is placed";
+    EXPECT_GT(cluster.queued(), 0u);
+    EXPECT_LE(cluster.queued(), 10 * constants::queue_tasks);
 }
 
-TEST(planning, a_round_is_bounded_and_the_next_goes_on) {
-    sweep s(60, 6000);
-    s.core.tick(at(2));
-    EXPECT_LE(s.placed() + s.queued(), static_cast<std::size_t>(c::bids_per_round));
-    s.core.tick(at(2.1));
-    EXPECT_GT(s.placed(), static_cast<std::size_t>(c::bids_per_round));
+TEST(planning, a_round_is_limited_and_the_next_one_continues) {
+    sweep cluster(60, 6000);
+    cluster.core.tick(at(2));
+    EXPECT_LE(cluster.placed() + cluster.queued(),
+              static_cast<std::size_t>(constants::bids_per_round));
+    cluster.core.tick(at(2.1));
+    EXPECT_GT(cluster.placed(), static_cast<std::size_t>(constants::bids_per_round));
     for (auto now = at(2.2); now < at(4); now += seconds{0.1})
-        s.core.tick(now);
-    EXPECT_EQ(s.placed(), 60u * 64);
+        cluster.core.tick(now);
+    EXPECT_EQ(cluster.placed(), 60u * 64);
 }
