--- a/src/bidding/bid.cpp
+++ b/src/bidding/bid.cpp
@@ -13,11 +13,12 @@
                                          seconds measured) {
     if (estimate <= seconds{0} || measured <= seconds{0})
         return;
-    constexpr double least_ratio = 0.1; // guards against one odd task that spoils its class
+    // Bounds the effect of a single outlier on the factor of its class.
+    constexpr double least_ratio = 0.1;
     constexpr double largest_ratio = 10.0;
     double &factor = factor_.try_emplace(job_class, 1.0).first->second;
     double ratio = std::clamp(measured / estimate, least_ratio, largest_ratio);
-    // In logarithms, so that twice too long and half too short cancel.
+    // The average is taken over logarithms, so that ratios of 2 and 1/2 cancel.
     factor = std::exp((1 - constants::class_gain) * std::log(factor) +
                       constants::class_gain * std::log(ratio));
 }
--- a/src/bidding/bid.hpp
+++ b/src/bidding/bid.hpp
@@ -1,5 +1,5 @@
-// The bids of the paper's scheduler: queued work + image fetch + run time ("Distributed Data
-// Locality-Aware Job Allocation", section 5 and page 2; docs/design.md has the table).
+// The bids of the scheduler: queued work + image fetch + run time, after "Distributed Data
+// Locality-Aware Job Allocation", section 5 and page 2 (docs/design.md has the table).
 #pragma once
 #include "common/time.hpp"
 #include "constants.hpp"
@@ -10,45 +10,48 @@
 
 namespace spindlecroft::bidding {
 
-/// How owners' estimates of run times compare with what was measured, for each class of jobs.
+/// Corrects the job owners' estimates of run times by the ratio of measured to estimated run times,
+/// separately for each class of jobs.
 class run_time_estimator {
   public:
-    /// The owner's estimate, or the default without one, corrected by the factor of its class.
+    /// Returns the owner's estimate, or the default if there is none, times the factor of the job's
+    /// class.
     [[nodiscard]] seconds expected_run_time(const job_spec &spec) const;
-    /// Takes in the run time of a task that ended. Passed over where either time is not positive.
-    void add_measurement(const std::string &job_class, seconds estimate, seconds took);
+    /// Adds the measured run time of a task that ended. Ignored unless both times are positive.
+    void add_measurement(const std::string &job_class, seconds estimate, seconds measured);
 
   private:
-    std::map<std::string, double> factor_; // by class: measured over estimated
+    std::map<std::string, double> factor_; // measured / estimated run time, by class
 };
 
-/// Amounts of what a machine has, or has left.
+/// Amounts of the resources that a machine has in total or has left.
 struct resources {
     double cpus = 0;
     double gpus = 0;
     double memory_gb = 0;
 
+    /// Returns whether one task fits.
     [[nodiscard]] bool fits(const job_spec &spec) const {
         constexpr double tolerance = constants::amount_tolerance;
         return spec.cpus <= cpus + tolerance && spec.gpus <= gpus + tolerance &&
                spec.memory_gb <= memory_gb + tolerance;
     }
-    /// Takes away what one task needs.
+    /// Subtracts the requirements of one task.
     void allocate(const job_spec &spec) {
         cpus -= spec.cpus;
         gpus -= spec.gpus;
         memory_gb -= spec.memory_gb;
     }
-    /// Adds what one task needs.
+    /// Adds the requirements of one task.
     void release(const job_spec &spec) {
         cpus += spec.cpus;
         gpus += spec.gpus;
         memory_gb += spec.memory_gb;
     }
-    /// How many such tasks fit at once.
+    /// Returns how many such tasks fit at once.
     [[nodiscard]] int slots(const job_spec &spec) const {
         constexpr double tolerance = constants::amount_tolerance;
-        constexpr double unbounded = 1e6; // for a task that needs nothing
+        constexpr double unbounded = 1e6; // for a task without requirements
         double tasks = unbounded;
         if (spec.cpus > 0)
             tasks = std::min(tasks, (cpus + tolerance) / spec.cpus);
@@ -60,31 +63,37 @@
     }
 };
 
-/// Former name of resources, until src/control has moved.
-using room = resources;
-
 /// A machine's bid for one task. The lowest finish time wins.
 struct bid {
-    seconds queue_time{}; // until the task could begin
-    seconds fetch_time{}; // for its image, where that is not at hand
+    seconds queue_time{}; // until the task could start
+    seconds fetch_time{}; // of its image, 0 if the machine has it
     seconds run_time{};
     [[nodiscard]] seconds finish_time() const { return queue_time + fetch_time + run_time; }
 };
 
-/// What a machine knows when it bids for a task.
+/// The properties of a machine and of the task's job that a bid is computed from.
 struct bid_input {
-    double speed = 1;            // of the machine; 1: as fast as estimates assume
-    double fetch_gb_per_s = 0;   // rate at which it fetches images
-    resources free;              // held by no present or queued task
-    resources array_capacity;    // what tasks that come and go may use, held or not
-    seconds backlog{};           // remaining and queued run time of such tasks
-    seconds boot_time{};         // until the machine is up
-    seconds expected_run_time{}; // of the task, at speed 1
-    bool has_image = false;      // cached there, or on its way for another task
-    int pending_fetches = 0;     // other images on their way, which share the rate
+    /// Speed of the machine; at 1, tasks run as long as estimated.
+    double speed = 1;
+    /// Rate at which the machine fetches images.
+    double fetch_gb_per_s = 0;
+    /// Resources that no placed or queued task holds.
+    resources free;
+    /// Resources that array tasks may use, whether tasks hold them or not.
+    resources array_capacity;
+    /// Remaining run time of the placed and queued array tasks.
+    seconds backlog{};
+    /// Time until the machine is up.
+    seconds boot_time{};
+    /// Run time of the task at speed 1.
+    seconds expected_run_time{};
+    /// Whether the image is cached or being fetched for another task.
+    bool has_image = false;
+    /// Number of other images being fetched, which share the rate.
+    int pending_fetches = 0;
 };
 
-/// Queue, fetch and run time of one task of the job on the machine.
+/// Returns the queue, fetch and run time of one task of the job on the machine.
 [[nodiscard]] inline bid make_bid(const job_spec &spec, const bid_input &input) {
     bid result;
     if (!input.free.fits(spec))
@@ -97,7 +106,7 @@
     return result;
 }
 
-/// The same, as src/control still calls it.
+/// Overload that takes the members of bid_input as arguments.
 [[nodiscard]] inline bid make_bid(double speed, double fetch_gb_per_s, const job_spec &spec,
                                   const resources &free, const resources &array_capacity,
                                   seconds backlog, seconds boot_time, seconds expected_run_time,
--- a/src/dependencies/chain_inheritance.hpp
+++ b/src/dependencies/chain_inheritance.hpp
@@ -1,5 +1,5 @@
-// What a job inherits from the unfinished jobs that depend on it: their priority, and due times
-// early enough for them to be on time.
+// Inheritance of urgency from unfinished dependents: a job gets the highest priority of the jobs
+// that depend on it, and due times early enough for them to meet their own.
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
@@ -14,29 +14,32 @@
 
 namespace spindlecroft::dependencies {
 
-// Keeps the inherited priorities and due times of the jobs up to date.
+/// Keeps the inherited priorities and due times of the jobs up to date.
 class chain_inheritance {
   public:
-    // All of them must outlive this.
+    /// All arguments must outlive this object.
     chain_inheritance(const settings::settings &settings, model::cluster_state &state,
                       const fairness::team_queues &teams)
         : settings_(settings), state_(state), teams_(teams) {}
 
-    // Works out anew what each job inherits along the graph.
+    /// Recomputes what each job in the graph inherits, and resets the jobs that no longer inherit
+    /// anything.
     void update(const catalog::dependency_graph &graph);
 
   private:
+    /// Returns the job's own urgency, or nothing if it is unknown or over.
     [[nodiscard]] std::optional<fairness::job_urgency> urgency_of(const std::string &id) const;
-    [[nodiscard]] fairness::due_times own_due_times(const catalog::job &job, seconds own) const;
+    [[nodiscard]] fairness::due_times own_due_times(const catalog::job &job,
+                                                    seconds deadline) const;
     [[nodiscard]] seconds estimate_duration(const catalog::job &job) const;
     [[nodiscard]] double wave_count(const catalog::job &job) const;
     [[nodiscard]] seconds slowest_image_fetch(const job_spec &spec) const;
-    void assign(const std::string &id, const fairness::inherited_urgency &from);
+    void assign(const std::string &id, const fairness::inherited_urgency &inherited);
 
     const settings::settings &settings_;
     model::cluster_state &state_;
     const fairness::team_queues &teams_;
-    std::set<std::string> inheriting_jobs_; // jobs whose priority or due times come from others
+    std::set<std::string> inheriting_jobs_; // jobs that inherited a priority or due times
 };
 
 } // namespace spindlecroft::dependencies
--- a/src/dependencies/dependency_tracker.cpp
+++ b/src/dependencies/dependency_tracker.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// No worker was told of the attempt, or it is over: nothing has to be stopped.
+// Returns whether the attempt runs on no worker, because no start command was sent or because it
+// has exited.
 bool needs_no_stop(const catalog::attempt &attempt) {
     return attempt.phase == attempt_phase::committing ||
            attempt.phase == attempt_phase::committed || attempt.phase == attempt_phase::exited;
@@ -25,9 +26,9 @@
 
 } // namespace
 
-// Guards against starting a job too early, and against orphaning it after a failover: readiness
-// comes from durable records alone, and a job with a predecessor that is not known yet is neither
-// ready nor cancelled.
+// Readiness is derived from durable records alone, and a job with a predecessor that is not known
+// yet is neither ready nor cancelled. Otherwise a job could start too early, or be orphaned after a
+// failover.
 void dependency_tracker::add(catalog::job &added, time_point now) {
     added.ready_at = added.accepted_at;
     if (added.spec.predecessors.empty())
@@ -35,7 +36,7 @@
     const auto &id = added.spec.id;
     graph_.add(id, added.spec.predecessors);
     for (const auto &predecessor : added.spec.predecessors)
-        if (auto *known = state_.find_job(predecessor); known && known->cancelled)
+        if (auto *active = state_.find_job(predecessor); active && active->cancelled)
             graph_.note_end(predecessor, {job_state::cancelled, now});
     auto standing = graph_.of(id);
     added.ready = standing == catalog::standing::ready;
@@ -47,9 +48,9 @@
 void dependency_tracker::on_predecessor_end(const std::string &id,
                                             const catalog::wall_predecessor_end &end,
                                             time_point now) {
-    catalog::predecessor_end steady{end.state, now};
-    steady.at = end.at ? std::min(now, state_.term().clock.to_steady(*end.at)) : now;
-    apply(graph_.note_end(id, steady), now);
+    catalog::predecessor_end steady_end{end.state, now};
+    steady_end.at = end.at ? std::min(now, state_.term().clock.to_steady(*end.at)) : now;
+    apply(graph_.note_end(id, steady_end), now);
 }
 
 void dependency_tracker::on_job_ended(const std::string &id,
@@ -61,8 +62,8 @@
 void dependency_tracker::cancel(catalog::job &cancelled, std::optional<wall_time> recorded_at,
                                 time_point now) {
     cancelled.cancelled = true;
-    // The user was told when the record was written, not when we hear of it. Two clocks are
-    // involved, each off by at most the bound.
+    // The cancellation counts from the time of the record, when the user was answered, not from
+    // when this controller reads it. Two clocks are involved, each off by at most the bound.
     cancelled.cancelled_at = now;
     if (recorded_at)
         cancelled.cancelled_at =
@@ -86,7 +87,7 @@
 void dependency_tracker::apply(const catalog::dependency_graph::changes &changes, time_point now) {
     for (const auto &id : changes.ready)
         mark_ready(id);
-    // None of them was ready, so none has a task.
+    // These jobs were never ready, so they have no tasks.
     for (const auto &id : changes.cancelled)
         if (auto *dependent = state_.find_job(id); dependent && !dependent->cancelled)
             cancel(*dependent, std::nullopt, now);
--- a/src/dependencies/dependency_tracker.hpp
+++ b/src/dependencies/dependency_tracker.hpp
@@ -1,7 +1,7 @@
-// Readiness and cancellation of jobs that wait for others.
+// Readiness and cancellation of jobs with predecessors.
 //
-// Cancelling a job cancels those that depend on it, and learning how a job ended may cancel others;
-// so the dependency graph and the cancellation of a job's own tasks are kept together here.
+// Cancelling a job cancels its dependents, and the recorded end of a predecessor may cancel further
+// jobs. The dependency graph and the cancellation of a job's own tasks are therefore kept together.
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
@@ -14,25 +14,27 @@
 
 namespace spindlecroft::dependencies {
 
-// Owns the dependency graph of the active jobs; its times are of the steady clock.
+/// Owns the dependency graph of the active jobs. Its times are on the steady clock.
 class dependency_tracker {
   public:
-    // Both must outlive the tracker.
+    /// Both arguments must outlive the tracker.
     dependency_tracker(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state) {}
 
-    // A job became active. It may be cancelled here, with a predecessor that was.
+    /// Adds a job that became active. If a predecessor was cancelled, the job is cancelled as well.
     void add(catalog::job &added, time_point now);
-    // How a predecessor ended, as its durable record says.
+    /// Applies the end of a predecessor as its durable record states it.
     void on_predecessor_end(const std::string &id, const catalog::wall_predecessor_end &end,
                             time_point now);
-    // The job ended durably, by this leader's own write, and is not active any more.
+    /// Removes a job whose end this leader has recorded durably, and applies the end to its
+    /// dependents.
     void on_job_ended(const std::string &id, const catalog::wall_predecessor_end &end,
                       time_point now);
-    // Cancels the job and all that depend on it. recorded_at: when the user was told, if a user
-    // cancelled it.
+    /// Cancels the job and all jobs that depend on it. recorded_at: the time of a user's
+    /// cancellation in its durable record, or nothing if it is unknown or a predecessor was
+    /// cancelled.
     void cancel(catalog::job &cancelled, std::optional<wall_time> recorded_at, time_point now);
-    // Predecessors of which neither an active nor an ended record is known.
+    /// Returns the predecessors for which neither an active nor an ended record is known.
     [[nodiscard]] std::set<std::string> unresolved_predecessors() const;
     [[nodiscard]] const catalog::dependency_graph &graph() const { return graph_; }
 
--- a/src/fairness/chain_order.cpp
+++ b/src/fairness/chain_order.cpp
@@ -5,15 +5,15 @@
 
 namespace {
 
-// The job's own values together with those that it inherits.
-job_urgency combined(job_urgency own, const inherited_urgency &from) {
-    own.priority = std::min(own.priority, from.priority);
-    if (!from.due)
+// Returns the job's own urgency raised to the one that it inherits.
+job_urgency combine(job_urgency own, const inherited_urgency &inherited) {
+    own.priority = std::min(own.priority, inherited.priority);
+    if (!inherited.due)
         return own;
     if (!own.due)
-        own.due = from.due;
-    own.due->first = std::min(own.due->first, from.due->first);
-    own.due->last = std::min(own.due->last, from.due->last);
+        own.due = inherited.due;
+    own.due->first = std::min(own.due->first, inherited.due->first);
+    own.due->last = std::min(own.due->last, inherited.due->last);
     return own;
 }
 
@@ -33,29 +33,29 @@
 
 std::map<std::string, inherited_urgency>
 inherit_urgency(const catalog::dependency_graph &graph,
-                const std::function<std::optional<job_urgency>(const std::string &)> &member) {
-    // Each job is visited once, after all that need it.
+                const std::function<std::optional<job_urgency>(const std::string &)> &urgency_of) {
+    // Visits each job once, after all of its dependents.
     std::map<std::string, inherited_urgency> inherited_by_job;
     std::map<std::string, std::size_t> dependents_left;
-    std::vector<std::string> open;
+    std::vector<std::string> ready_to_visit;
     for (const auto &[job, node] : graph.nodes()) {
         for (const auto &predecessor : node.predecessors)
             ++dependents_left[predecessor];
         if (graph.dependents(job).empty())
-            open.push_back(job);
+            ready_to_visit.push_back(job);
     }
-    while (!open.empty()) {
-        auto job = std::move(open.back());
-        open.pop_back();
-        auto own = member(job);
-        auto from = inherited_by_job.find(job);
-        if (own && from != inherited_by_job.end())
-            own = combined(*own, from->second);
+    while (!ready_to_visit.empty()) {
+        auto job = std::move(ready_to_visit.back());
+        ready_to_visit.pop_back();
+        auto own = urgency_of(job);
+        auto inherited = inherited_by_job.find(job);
+        if (own && inherited != inherited_by_job.end())
+            own = combine(*own, inherited->second);
         for (const auto &predecessor : graph.find(job)->predecessors) {
             if (own && !graph.end_of(predecessor))
                 inherited_by_job[predecessor].add_dependent(*own);
             if (--dependents_left[predecessor] == 0 && graph.find(predecessor))
-                open.push_back(predecessor);
+                ready_to_visit.push_back(predecessor);
         }
     }
     return inherited_by_job;
--- a/src/fairness/chain_order.hpp
+++ b/src/fairness/chain_order.hpp
@@ -1,5 +1,6 @@
-// What a job inherits from the unfinished jobs that need it: their priority and, passed backwards
-// along the chain, the time by which it should be complete. Pure.
+// Inheritance of urgency along chains of dependent jobs: a job inherits the priority of the
+// unfinished jobs that depend on it, and due times early enough for them to meet their own. Pure
+// functions.
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "common/time.hpp"
@@ -16,25 +17,26 @@
     time_point last{};
 };
 
-/// What is known of a job by itself.
+/// The urgency of a job without regard to its dependents.
 struct job_urgency {
     priority_class priority = priority_class::normal;
     std::optional<due_times> due;
-    seconds duration{}; // estimated, from its readiness to its end
+    /// Estimated time from the job's readiness to its end.
+    seconds duration{};
 };
 
-/// What a job inherits from the jobs that need it.
+/// The urgency that a job inherits from its dependents.
 struct inherited_urgency {
     priority_class priority = priority_class::low;
     std::optional<due_times> due;
-    /// Takes what the job's dependent, as it stands, asks of it.
+    /// Adds the urgency of a dependent. It includes what the dependent inherits itself.
     void add_dependent(const job_urgency &dependent);
 };
 
-/// For every job that unfinished jobs need. member: nothing for a job that does not count (any
-/// more).
+/// Returns the inherited urgency of every job that has unfinished dependents. urgency_of returns
+/// the urgency of a job, or nothing if the job is unknown or over and passes nothing on.
 [[nodiscard]] std::map<std::string, inherited_urgency>
 inherit_urgency(const catalog::dependency_graph &graph,
-                const std::function<std::optional<job_urgency>(const std::string &)> &member);
+                const std::function<std::optional<job_urgency>(const std::string &)> &urgency_of);
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/team_order.cpp
+++ b/src/fairness/team_order.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Can't be complete by any of its due times.
+// Returns whether the job cannot meet any of its due times.
 bool is_late(const waiting_job &job) {
     return job.due_in.empty() || job.due_in.back() < job.min_completion_time;
 }
 
-std::vector<bool> late_jobs(const std::vector<waiting_job> &jobs) {
+std::vector<bool> find_late_jobs(const std::vector<waiting_job> &jobs) {
     std::vector<bool> late;
     late.reserve(jobs.size());
     for (const auto &job : jobs)
@@ -21,8 +21,8 @@
     return late;
 }
 
-// Jobs that waited long without any task, the longest wait first.
-std::vector<std::size_t> starved_jobs(const std::vector<waiting_job> &jobs) {
+// Returns the jobs that waited long without having started a task, the longest wait first.
+std::vector<std::size_t> find_starved_jobs(const std::vector<waiting_job> &jobs) {
     std::vector<std::size_t> starved;
     for (std::size_t i = 0; i < jobs.size(); ++i)
         if (!jobs[i].has_started && jobs[i].wait_time > constants::starved_after)
@@ -33,9 +33,9 @@
     return starved;
 }
 
-// The late job that waited longest, if it waited long enough for a share of its own.
-std::optional<std::size_t> oldest_aged_job(const std::vector<waiting_job> &jobs,
-                                           const std::vector<bool> &late) {
+// Returns the late job with the longest wait, if it waited long enough for a share of the slots.
+std::optional<std::size_t> find_oldest_aged_job(const std::vector<waiting_job> &jobs,
+                                                const std::vector<bool> &late) {
     std::optional<std::size_t> oldest;
     for (std::size_t i = 0; i < jobs.size(); ++i)
         if (late[i] && jobs[i].wait_time > constants::aged_after &&
@@ -44,9 +44,9 @@
     return oldest;
 }
 
-// Jobs that can be in time before the others, and least work first among each.
-std::vector<std::size_t> least_work_first(const std::vector<waiting_job> &jobs,
-                                          const std::vector<bool> &late) {
+// Returns all jobs, those that can be in time before the late ones, each ordered by remaining work.
+std::vector<std::size_t> order_by_least_work(const std::vector<waiting_job> &jobs,
+                                             const std::vector<bool> &late) {
     std::vector<std::size_t> order(jobs.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](auto left, auto right) {
@@ -59,18 +59,18 @@
 } // namespace
 
 std::vector<turn> serving_order(const std::vector<waiting_job> &jobs, double slots) {
-    auto late = late_jobs(jobs);
-    auto starved = starved_jobs(jobs);
+    auto late = find_late_jobs(jobs);
+    auto starved = find_starved_jobs(jobs);
     std::vector<turn> turns;
     turns.reserve(starved.size() + 1 + jobs.size());
     for (auto job : starved)
         turns.push_back({job, 1});
-    if (auto aged = oldest_aged_job(jobs, late)) {
+    if (auto aged = find_oldest_aged_job(jobs, late)) {
         double share = std::max(1.0, constants::aged_share * slots) - jobs[*aged].occupied_slots;
         if (share >= 1)
             turns.push_back({*aged, static_cast<std::uint32_t>(share)});
     }
-    for (auto job : least_work_first(jobs, late))
+    for (auto job : order_by_least_work(jobs, late))
         turns.push_back({job, all_tasks});
     return turns;
 }
--- a/src/fairness/team_order.hpp
+++ b/src/fairness/team_order.hpp
@@ -1,4 +1,5 @@
-// In which order a team's jobs of one priority are served while not all can run at once. Pure.
+// The order in which a team's jobs of one priority are served while not all of them can run at
+// once. Pure functions.
 #pragma once
 #include "common/time.hpp"
 #include <cstddef>
@@ -7,30 +8,44 @@
 
 namespace spindlecroft::fairness {
 
-/// What the order of service depends on.
+/// The properties of a waiting job that its place in the order depends on.
 struct waiting_job {
-    std::vector<seconds> due_in; // until the times by which it should be complete, the first first
-    seconds remaining_work{};    // run time of its tasks that are not done
-    seconds min_completion_time{}; // at least this long even with any number of machines
-    seconds wait_time{};           // since it was accepted
-    bool has_started = false;      // some task of it has started
-    double occupied_slots = 0;     // slots that it has now
+    /// Time left until each of the times by which the job should be complete, ascending. Negative
+    /// for times that have passed.
+    std::vector<seconds> due_in;
+    /// Total run time of the tasks that are not done.
+    seconds remaining_work{};
+    /// Least time until the job is complete, with any number of machines.
+    seconds min_completion_time{};
+    /// Time since the job became ready.
+    seconds wait_time{};
+    /// Whether any task of the job has started.
+    bool has_started = false;
+    /// Number of slots that the job's tasks occupy now.
+    double occupied_slots = 0;
 };
 
-/// A job's turn: so many of its tasks, before the next turn.
+/// A job's turn to place tasks.
 struct turn {
-    std::size_t job = 0; // position in the given list
+    /// Position of the job in the given list.
+    std::size_t job = 0;
+    /// Maximum number of tasks placed before the next turn.
     std::uint32_t max_tasks = 0;
     auto operator<=>(const turn &) const = default;
 };
-/// The number of tasks in a turn without bound.
+/// Value of turn::max_tasks for an unlimited number of tasks.
 inline constexpr std::uint32_t all_tasks = ~std::uint32_t(0);
 
-/// Least work first among the jobs that can still be complete by one of their due times, then the
-/// others in the same way: while more is asked for than can be done, that lets the most jobs be in
-/// time, and unlike the order by due time it does not fail them all by a little when estimates err.
-/// So that it starves no one, a job that has waited long without any task begins before all others,
-/// and the oldest of those long past all due times has a small share of the slots.
+/// Returns the turns in the order in which they are served.
+///
+/// Jobs that can still meet one of their due times come first, then the others, and within both
+/// groups the job with the least remaining work. Under overload, this lets the largest number of
+/// jobs be in time. An order by due time would make all of them slightly late when the estimates
+/// are wrong.
+///
+/// To prevent starvation, a job that has waited long without having started any task starts one
+/// before all others, and the oldest of the jobs long past all due times gets a small share of the
+/// slots.
 [[nodiscard]] std::vector<turn> serving_order(const std::vector<waiting_job> &jobs, double slots);
 
 } // namespace spindlecroft::fairness
--- a/src/fairness/team_queues.hpp
+++ b/src/fairness/team_queues.hpp
@@ -1,4 +1,4 @@
-// What each team uses, compared with its guarantee and its limit.
+// The resources that each team uses, compared with its guarantee and its limit.
 #pragma once
 #include "settings/settings.hpp"
 #include "wire/types.hpp"
@@ -8,29 +8,32 @@
 
 namespace spindlecroft::fairness {
 
-/// What a team's present tasks take.
+/// The resources that a team's current tasks hold.
 struct usage {
     double cpus = 0;
     double gpus = 0;
 };
 
-/// The teams of the settings and their usage. Teams are served in turn, by share_used.
+/// The configured teams and their usage. Teams are served in the order of share_used.
 class team_queues {
   public:
     explicit team_queues(std::vector<settings::team> teams);
-    /// The team's settings, or nullptr for an unknown team.
+    /// Returns the team's settings, or null for an unknown team.
     [[nodiscard]] const settings::team *find(const std::string &team) const;
     void clear_usage();
-    /// Counts one task of the job in (sign 1) or out (sign -1).
-    void add(const std::string &team, const job_spec &spec, int sign = 1);
+    /// Adds the resources of this many tasks of the job to the team's usage. A negative count
+    /// subtracts them.
+    void add(const std::string &team, const job_spec &spec, int task_count = 1);
     [[nodiscard]] usage usage_of(const std::string &team) const;
-    /// One more such task stays within the team's limit.
+    /// Returns whether one more such task stays within the team's limit.
     [[nodiscard]] bool within_limit(const job_spec &spec) const;
-    /// One more such task stays within what the team is guaranteed.
+    /// Returns whether one more such task stays within the team's guarantee.
     [[nodiscard]] bool within_guarantee(const job_spec &spec) const;
-    /// Turn by shares: the team that uses least for its share goes first.
+    /// Returns the used part of the team's guarantee, of CPUs or GPUs, whichever is larger. Without
+    /// a guarantee, the sum of its CPUs and GPUs. The team with the lowest value is served first.
     [[nodiscard]] double share_used(const std::string &name) const;
-    /// The limit permits the job at all (array: one task; service: all tasks).
+    /// Returns whether the team's limit allows the job to run at all: one task of an array, or all
+    /// replicas of a service.
     [[nodiscard]] bool can_ever_run(const job_spec &spec) const;
 
   private:
