--- a/src/fleet/machine_health.cpp
+++ b/src/fleet/machine_health.cpp
@@ -5,8 +5,6 @@
 
 namespace spindlecroft::fleet {
 
-namespace c = constants;
-
 namespace {
 
 // With no more machines than these, many silent ones at once prove nothing.
@@ -19,12 +17,12 @@
 // in a cut, and it counts as silent.
 bool never_came_up(const workers::machine &machine, seconds boot_age) {
     return !machine.is_up && machine.is_type_known && !machine.running_at &&
-           boot_age > c::boot_late * machine.type.boot_time + boot_margin;
+           boot_age > constants::boot_late * machine.type.boot_time + boot_margin;
 }
 
 bool is_slow(const workers::machine &machine) {
-    return machine.is_up && machine.speed_samples >= c::slow_samples &&
-           machine.speed < c::slow_machine;
+    return machine.is_up && machine.speed_samples >= constants::slow_samples &&
+           machine.speed < constants::slow_machine;
 }
 
 } // namespace
@@ -49,7 +47,7 @@
             ++tally->observed;
             // Guards against deleting a large zone that is cut off, machine by machine: they fall
             // silent one after another, and when the first is, the others have been quiet already.
-            tally->possibly_silent += silent_for(machine, now) > c::quiet_share * limit;
+            tally->possibly_silent += silent_for(machine, now) > constants::quiet_share * limit;
         }
         // Nothing waits in the queue of a machine that may be dead.
         if (machine.is_silent && !machine.queue.empty())
@@ -68,7 +66,7 @@
                                                                 time_point now) const {
     // In a zone that is cut off, tasks go on until their leases end, and the machines are of use
     // again after the cut: deleting them at once would end work for nothing.
-    seconds patience = model::silence_limit(settings_) + settings_.lease_duration + c::cut_patience;
+    seconds patience = model::silence_limit(settings_) + settings_.lease_duration + constants::cut_patience;
     if (machine.is_silent && (!in_doubt || silent_for(machine, now) > patience))
         return deletion_reason::silent;
     if (never_came_up(machine, model::boot_age(machine, state_.term(), settings_, now)))
@@ -79,7 +77,7 @@
     // this, since the machine never shows our token.
     if (machine.outbound_partition_since &&
         now - *machine.outbound_partition_since >
-            c::outbound_partition_leases * settings_.lease_duration)
+            constants::outbound_partition_leases * settings_.lease_duration)
         return deletion_reason::outbound_partition;
     if (machine.is_quarantined && machine.attempts.empty())
         return deletion_reason::quarantined;
@@ -90,11 +88,11 @@
 
 void machine_health::check(time_point now) {
     auto survey = survey_silence(now);
-    bool all_in_doubt = survey.all.looks_cut_off(doubt_least_machines, c::silent_share);
+    bool all_in_doubt = survey.all.looks_cut_off(doubt_least_machines, constants::silent_share);
     // After a cut the machines come back one after another.
     for (const auto &[zone, tally] : survey.zones)
-        if (tally.looks_cut_off(zone_doubt_least_machines, c::silent_zone_share))
-            zone_suspected_until_[zone] = now + c::cut_return;
+        if (tally.looks_cut_off(zone_doubt_least_machines, constants::silent_zone_share))
+            zone_suspected_until_[zone] = now + constants::cut_return;
     for (auto &[name, machine] : state_.machines()) {
         if (machine.is_deleting)
             continue;
--- a/src/model/boot_age.cpp
+++ b/src/model/boot_age.cpp
@@ -1,3 +1,4 @@
+// Boot age and silence limit.
 #include "model/boot_age.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -8,7 +9,7 @@
     return constants::silent_heartbeats * settings.heartbeat_interval + constants::silent_margin;
 }
 
-// Guards against deleting the whole fleet as never up, right after a failover.
+// The bound prevents a new leader from deleting the whole fleet as never up right after a failover.
 seconds boot_age(const workers::machine &machine, const leadership_term &term,
                  const settings::settings &settings, time_point now) {
     seconds age = now - machine.rented_at;
--- a/src/model/boot_age.hpp
+++ b/src/model/boot_age.hpp
@@ -1,4 +1,4 @@
-// How long a machine can be said to have been booting.
+// Limits on the time that a machine may take to boot and to be heard from.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -7,12 +7,13 @@
 
 namespace spindlecroft::model {
 
-// The time since the machine was rented. Right after a failover, while machines that are up have
-// not found the new leader yet, at most the usual boot time of the type.
+/// Returns for how long the machine has been booting: the time since it was rented. Right after a
+/// failover, while running machines have not found the new leader yet, at most the usual boot time
+/// of its type.
 seconds boot_age(const workers::machine &machine, const leadership_term &term,
                  const settings::settings &settings, time_point now);
 
-// A machine without a word for longer than this is silent: heartbeats take no longer.
+/// The longest time between two heartbeats of a working machine. Beyond it the machine is silent.
 seconds silence_limit(const settings::settings &settings);
 
 } // namespace spindlecroft::model
--- a/src/model/cluster_state.cpp
+++ b/src/model/cluster_state.cpp
@@ -1,3 +1,4 @@
+// Changes of the cluster state that keep jobs and machines consistent.
 #include "model/cluster_state.hpp"
 #include "constants.hpp"
 #include "workers/attempt_liveness.hpp"
@@ -10,8 +11,8 @@
 
 namespace {
 
-// An attempt number is the fencing token of its leader and a counter in the lower bits, so that no
-// two leaders use the same one.
+// An attempt number consists of the leader's fencing token and, in the lower bits, a counter, so
+// that two leaders never use the same number.
 constexpr unsigned attempt_counter_bits = 20;
 
 template <class Map>
@@ -48,19 +49,19 @@
 }
 
 cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task) {
-    auto *owner = find_job(task.job);
-    if (!owner)
+    auto *job = find_job(task.job);
+    if (!job)
         return nullptr;
-    auto found = owner->live.find(task.index);
-    return found == owner->live.end() ? nullptr : &found->second;
+    auto found = job->live.find(task.index);
+    return found == job->live.end() ? nullptr : &found->second;
 }
 
 const cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task) const {
-    const auto *owner = find_job(task.job);
-    if (!owner)
+    const auto *job = find_job(task.job);
+    if (!job)
         return nullptr;
-    auto found = owner->live.find(task.index);
-    return found == owner->live.end() ? nullptr : &found->second;
+    auto found = job->live.find(task.index);
+    return found == job->live.end() ? nullptr : &found->second;
 }
 
 cluster_state::attempt *cluster_state::find_attempt(const catalog::task_ref &task,
@@ -89,9 +90,9 @@
         recent_services_[spec.job_class] = {spec, now};
 }
 
-seconds cluster_state::expected_run_time(const job &owner) const {
-    seconds prior = estimates_.expected_run_time(owner.spec);
-    return (prior + owner.took_sum) / (1 + owner.took_count);
+seconds cluster_state::expected_run_time(const catalog::job &job) const {
+    seconds prior = estimates_.expected_run_time(job.spec);
+    return (prior + job.took_sum) / (1 + job.took_count);
 }
 
 std::uint32_t cluster_state::image_number(const std::string &image) {
@@ -103,19 +104,19 @@
 
 cluster_state::machine &cluster_state::find_or_add_machine(const std::string &name,
                                                            time_point now) {
-    auto [found, fresh] = machines_.try_emplace(name);
-    auto &made = found->second;
-    if (!fresh)
-        return made;
-    made.name = name;
-    made.rented_at = made.known_at = now;
-    made.idle_since = now;
-    // Whoever answered it before us, did so before our authority began.
-    made.latest_lease_end = std::max(term_.began_at, now) +
-                            settings_.lease_duration * (1 + constants::clock_drift) +
-                            constants::lease_slack;
+    auto [found, is_new] = machines_.try_emplace(name);
+    auto &machine = found->second;
+    if (!is_new)
+        return machine;
+    machine.name = name;
+    machine.rented_at = machine.known_at = now;
+    machine.idle_since = now;
+    // An earlier leader can have answered it only before this term began.
+    machine.latest_lease_end = std::max(term_.began_at, now) +
+                               settings_.lease_duration * (1 + constants::clock_drift) +
+                               constants::lease_slack;
     request_planning();
-    return made;
+    return machine;
 }
 
 std::size_t cluster_state::machine_class_index(const std::string &type, const std::string &zone,
@@ -124,45 +125,45 @@
         machine_classes_.begin(), machine_classes_.end(), [&](const machine_class &known) {
             return known.type == type && known.zone == zone && known.spot == spot;
         });
-    auto number = static_cast<std::size_t>(found - machine_classes_.begin());
+    auto index = static_cast<std::size_t>(found - machine_classes_.begin());
     if (found == machine_classes_.end())
         machine_classes_.push_back({type, zone, spot});
-    return number;
+    return index;
 }
 
-void cluster_state::update_description(machine &which, const std::string &type,
+void cluster_state::update_description(machine &described, const std::string &type,
                                        const std::string &zone, bool spot,
                                        const std::string &address) {
-    if (!address.empty() && which.address != address)
-        which.address = address;
-    bool unchanged =
-        which.is_type_known && which.type.name == type && which.zone == zone && which.spot == spot;
-    if (unchanged)
-        return; // as in nearly every heartbeat
+    if (!address.empty() && described.address != address)
+        described.address = address;
+    bool is_unchanged = described.is_type_known && described.type.name == type &&
+                        described.zone == zone && described.spot == spot;
+    if (is_unchanged)
+        return; // the usual case: most heartbeats change nothing
     if (const auto *known = find_type(type)) {
-        which.type = *known;
-        which.is_type_known = true;
+        described.type = *known;
+        described.is_type_known = true;
     }
-    which.zone = zone;
-    which.spot = spot;
-    which.machine_class = machine_class_index(type, zone, spot);
-    which.mark_changed();
+    described.zone = zone;
+    described.spot = spot;
+    described.machine_class = machine_class_index(type, zone, spot);
+    described.mark_changed();
 }
 
-void cluster_state::request_deletion(machine &which, const char *reason) {
-    if (which.is_deleting)
+void cluster_state::request_deletion(machine &unwanted, const char *reason) {
+    if (unwanted.is_deleting)
         return;
-    spdlog::info("{} ({} {} {}): to be deleted, {}", which.name, which.type.name, which.zone,
-                 which.spot ? "spot" : "ordinary", reason);
-    which.is_deleting = true;
-    withdraw_unsent_attempts(which);
+    spdlog::info("machine {} ({} {} {}) will be deleted: {}", unwanted.name, unwanted.type.name,
+                 unwanted.zone, unwanted.spot ? "spot" : "on-demand", reason);
+    unwanted.is_deleting = true;
+    withdraw_unsent_attempts(unwanted);
 }
 
 void cluster_state::remove_machine(const std::string &name, time_point now) {
-    auto *gone = find_machine(name);
-    if (!gone)
+    auto *removed = find_machine(name);
+    if (!removed)
         return;
-    release_attempts(*gone);
+    release_attempts(*removed);
     failures_.forget_machine(name);
     machines_.erase(name);
     removed_[name] = now;
@@ -170,8 +171,8 @@
     request_planning();
 }
 
-void cluster_state::forget_removed_machines(seconds after, time_point now) {
-    std::erase_if(removed_, [&](const auto &removed) { return now - removed.second > after; });
+void cluster_state::forget_removed_machines(seconds age, time_point now) {
+    std::erase_if(removed_, [&](const auto &removed) { return now - removed.second > age; });
 }
 
 void cluster_state::release_attempts(machine &host) {
@@ -179,57 +180,58 @@
     const workers::observation removed{workers::evidence::machine_removed};
     auto tasks = host.attempts;
     for (const auto &task : tasks) {
-        auto *found = find_attempt(task);
-        if (!found)
+        auto *attempt = find_attempt(task);
+        if (!attempt)
             continue;
-        if (assess_attempt(*found, host, removed) == workers::attempt_liveness::gone)
+        if (assess_attempt(*attempt, host, removed) == workers::attempt_liveness::gone)
             release_attempt(*find_job(task.job), task.index, true);
     }
 }
 
 // --- attempts ---
 
-cluster_state::attempt &cluster_state::add_attempt(job &owner, attempt added) {
+cluster_state::attempt &cluster_state::add_attempt(catalog::job &job, attempt added) {
     auto index = added.task.index;
     if (auto *host = find_machine(added.machine)) {
         host->attempts.insert(added.task);
         host->mark_changed();
     }
-    return owner.live[index] = std::move(added);
+    return job.live[index] = std::move(added);
 }
 
-void cluster_state::release_attempt(job &owner, std::uint32_t index, bool to_waiting) {
-    auto found = owner.live.find(index);
-    if (found == owner.live.end())
+void cluster_state::release_attempt(catalog::job &job, std::uint32_t index, bool requeue) {
+    auto found = job.live.find(index);
+    if (found == job.live.end())
         return;
     auto &released = found->second;
-    if (to_waiting && !owner.over())
-        spdlog::debug("{}/{} is no longer on {}", owner.spec.id, index, released.machine);
+    if (requeue && !job.over())
+        spdlog::debug("task {}/{}: attempt on machine {} released, task requeued", job.spec.id,
+                      index, released.machine);
     if (auto *host = find_machine(released.machine)) {
         host->attempts.erase(released.task);
         host->mark_changed();
     }
-    owner.live.erase(found);
-    if (to_waiting)
-        owner.push_back(index);
+    job.live.erase(found);
+    if (requeue)
+        job.push_back(index);
     request_planning();
 }
 
-void cluster_state::request_stop(attempt &which, seconds grace) {
-    if (which.stop_wanted && grace >= which.grace)
+void cluster_state::request_stop(attempt &stopped, seconds grace) {
+    if (stopped.stop_wanted && grace >= stopped.grace)
         return;
-    which.stop_wanted = true;
-    which.grace = grace;
-    mark_for_direct_command(which.machine);
+    stopped.stop_wanted = true;
+    stopped.grace = grace;
+    mark_for_direct_command(stopped.machine);
 }
 
-// Guards against tasks that wait for ever on a machine that gets no more work.
-void cluster_state::withdraw_unsent_attempts(machine &from) {
-    clear_queue(from);
-    auto tasks = from.attempts;
+// Otherwise these tasks would wait indefinitely on a machine that gets no more work.
+void cluster_state::withdraw_unsent_attempts(machine &host) {
+    clear_queue(host);
+    auto tasks = host.attempts;
     for (const auto &task : tasks) {
-        auto *found = find_attempt(task);
-        if (found && found->phase == attempt_phase::committed)
+        auto *attempt = find_attempt(task);
+        if (attempt && attempt->phase == attempt_phase::committed)
             release_attempt(*find_job(task.job), task.index, true);
     }
 }
@@ -242,45 +244,45 @@
 
 void cluster_state::clear_queue(machine &host) {
     for (const auto &queued : host.queue) {
-        auto *owner = find_job(queued.task.job);
-        if (!owner)
+        auto *job = find_job(queued.task.job);
+        if (!job)
             continue;
-        owner->queued.erase(queued.task.index);
-        owner->push_back(queued.task.index);
+        job->queued.erase(queued.task.index);
+        job->push_back(queued.task.index);
     }
     host.queue.clear();
     host.mark_changed();
     request_planning();
 }
 
-void cluster_state::remove_from_queue(job &owner, std::uint32_t index) {
-    auto found = owner.queued.find(index);
-    if (found == owner.queued.end())
+void cluster_state::remove_from_queue(catalog::job &job, std::uint32_t index) {
+    auto found = job.queued.find(index);
+    if (found == job.queued.end())
         return;
     if (auto *host = find_machine(found->second)) {
-        catalog::task_ref task{owner.spec.id, index};
+        catalog::task_ref task{job.spec.id, index};
         std::erase_if(host->queue, [&](const auto &queued) { return queued.task == task; });
         host->mark_changed();
     }
-    owner.queued.erase(found);
+    job.queued.erase(found);
 }
 
-// --- what is to be done next ---
+// --- pending actions ---
 
 std::vector<std::string> cluster_state::take_direct_command_targets() {
-    std::vector<std::string> out;
+    std::vector<std::string> targets;
     for (auto name = direct_command_targets_.begin(); name != direct_command_targets_.end();) {
         const auto *marked = find_machine(*name);
-        bool reachable = marked && marked->is_up;
-        if (reachable && marked->open_direct_commands > 0) {
-            ++name; // after the command that is under way
+        bool is_reachable = marked && marked->is_up;
+        if (is_reachable && marked->open_direct_commands > 0) {
+            ++name; // stays marked until the command in flight is resolved
             continue;
         }
-        if (reachable)
-            out.push_back(*name);
+        if (is_reachable)
+            targets.push_back(*name);
         name = direct_command_targets_.erase(name);
     }
-    return out;
+    return targets;
 }
 
 } // namespace spindlecroft::model
--- a/src/model/cluster_state.hpp
+++ b/src/model/cluster_state.hpp
@@ -1,7 +1,7 @@
-// What the leader knows of the cluster: jobs, machines, and the attempts and queues that join them.
-// Every change that touches both a job and a machine goes through this class, so that the two never
-// disagree. It decides nothing and does no input or output; reconciliation, planning, the fleet and
-// the records work on it.
+// The leader's view of the cluster: jobs, machines, and the attempts and queues that connect them.
+// Every change that touches both a job and a machine goes through this class, so that the two stay
+// consistent. It makes no decisions and performs no I/O; reconciliation, planning, the fleet and
+// the records operate on it.
 #pragma once
 #include "bidding/bid.hpp"
 #include "catalog/job.hpp"
@@ -19,26 +19,28 @@
 
 namespace spindlecroft::model {
 
-// The leadership under which this state is kept.
+/// The leadership term during which this state is kept.
 struct leadership_term {
-    std::uint64_t first_token = 0; // the fencing token with which it began; names records
-    std::uint64_t token = 0;       // the present one; the leader may raise it
+    std::uint64_t first_token = 0; ///< Fencing token with which the term began; names records.
+    std::uint64_t token = 0;       ///< Current fencing token; the leader may raise it.
     time_point began_at{};
-    wall_clock clock; // for records that outlive this process
+    wall_clock clock; ///< For times in records that outlive this process.
 };
 
-// A kind of place where a task may be: the rules of a job don't tell more apart.
+/// All machines of one type and zone, either spot or on-demand. The placement rules of jobs
+/// distinguish no further.
 struct machine_class {
     std::string type, zone;
     bool spot = false;
 };
 
-// A service of some class that was seen of late, for which spare capacity is kept.
+/// The service of a job class that was accepted last, for which spare capacity is kept.
 struct recent_service {
-    job_spec spec; // of the latest such service
+    job_spec spec;
     time_point seen_at{};
 };
 
+/// Holds all jobs and machines and keeps their relations consistent.
 class cluster_state {
   public:
     using job = catalog::job;
@@ -47,10 +49,10 @@
 
     cluster_state(const settings::settings &settings, std::vector<machine_type> types);
 
-    // --- the leadership ---
+    // --- leadership ---
     const leadership_term &term() const { return term_; }
     void begin_term(const leadership_term &term) { term_ = term; }
-    // A token that is not higher changes nothing.
+    /// Raises the fencing token. A token that is not higher is ignored.
     void raise_token(std::uint64_t token);
 
     // --- look-ups ---
@@ -58,10 +60,10 @@
     const job *find_job(const std::string &id) const;
     machine *find_machine(const std::string &name);
     const machine *find_machine(const std::string &name) const;
-    // The attempt of the task that is not proven gone, if any.
+    /// The attempt of the task that is not proven gone, or null.
     attempt *find_attempt(const catalog::task_ref &task);
     const attempt *find_attempt(const catalog::task_ref &task) const;
-    // The same, only if it has this number.
+    /// The same, or null if its number differs.
     attempt *find_attempt(const catalog::task_ref &task, std::uint64_t number);
     const machine_type *find_type(const std::string &name) const;
     std::map<std::string, job> &jobs() { return jobs_; }
@@ -70,72 +72,82 @@
     const std::map<std::string, machine> &machines() const { return machines_; }
     const std::vector<machine_type> &types() const { return types_; }
     void set_types(std::vector<machine_type> types) { types_ = std::move(types); }
-    // Calls visit(job, attempt) for each attempt on the machine. The visitor must not release any.
+    /// Calls visit(job, attempt) for each attempt on the machine. The visitor must not release any.
     template <class Visitor>
     void for_each_attempt(machine &host, Visitor visit);
 
     // --- jobs ---
-    // Adds a job or replaces the one of that name.
+    /// Adds the job, replacing any job with this id.
     job &add_job(const std::string &id, job added);
-    // An accepted job tells what work is to be expected.
+    /// Remembers an accepted job as an example of the work to expect.
     void note_accepted_job(const job_spec &spec, time_point now);
     void remove_job(const std::string &id) { jobs_.erase(id); }
-    // The owner's estimate, corrected by what was measured of the class and of this very job.
-    seconds expected_run_time(const job &owner) const;
+    /// The user's estimate for one task, corrected by the run times measured in the job's class and
+    /// in the job itself.
+    seconds expected_run_time(const catalog::job &job) const;
     bidding::estimates &estimates() { return estimates_; }
+    /// The latest service of each job class.
     const std::map<std::string, recent_service> &recent_services() const {
         return recent_services_;
     }
-    // The array that was accepted last.
+    /// The array that was accepted last.
     const std::optional<job_spec> &latest_array() const { return latest_array_; }
-    // A small number for the image: planning compares images often.
+    /// Returns a small number for the image, which planning compares faster than names.
     std::uint32_t image_number(const std::string &image);
 
     // --- machines ---
-    // The machine of that name; made if it is not known yet.
+    /// Returns the machine of that name, adding it if it is unknown.
     machine &find_or_add_machine(const std::string &name, time_point now);
-    // What a heartbeat, a list or a rental says of the machine. An empty address says nothing.
-    void update_description(machine &which, const std::string &type, const std::string &zone,
+    /// Applies the description in a heartbeat, machine list or rental. An empty address is ignored.
+    void update_description(machine &described, const std::string &type, const std::string &zone,
                             bool spot, const std::string &address);
     const std::vector<machine_class> &machine_classes() const { return machine_classes_; }
-    // No new work for the machine, and a deletion as soon as the cloud can be asked.
-    void request_deletion(machine &which, const char *reason);
-    // The machine is proven gone, with all that was on it.
+    /// Gives the machine no new work and has it deleted by the next call to the cloud.
+    void request_deletion(machine &unwanted, const char *reason);
+    /// Removes a machine that is proven gone, with all attempts on it.
     void remove_machine(const std::string &name, time_point now);
-    // It was removed of late; late heartbeats and lists may still name it.
+    /// Whether the machine was removed recently. Late heartbeats and lists may still name it.
     bool was_removed(const std::string &name) const { return removed_.contains(name); }
-    // Names are not used again; late words about a machine end after some time.
-    void forget_removed_machines(seconds after, time_point now);
-    // Gives up what is on the machine, or queued for it, but for results that are being recorded.
+    /// Forgets the names of machines removed longer ago than `age`. The cloud never reuses a name,
+    /// and late messages about a machine cease after some time.
+    void forget_removed_machines(seconds age, time_point now);
+    /// Releases all attempts on the machine, except results that are being recorded, and its queue.
     void release_attempts(machine &host);
 
     // --- attempts ---
-    // The attempt is on its machine, which must be known, from now on.
-    attempt &add_attempt(job &owner, attempt added);
-    // The attempt is proven gone, or was never sent. to_waiting: its task is placed again.
-    void release_attempt(job &owner, std::uint32_t index, bool to_waiting);
-    // Asks for a stop with so much time to save a checkpoint. A shorter time replaces a longer one.
-    void request_stop(attempt &which, seconds grace);
-    // What was placed on the machine, but never sent, goes elsewhere.
-    void withdraw_unsent_attempts(machine &from);
+    /// Adds an attempt to the job and to its machine, which must be known.
+    attempt &add_attempt(catalog::job &job, attempt added);
+    /// Removes an attempt that is proven gone or was never sent. requeue: its task is to be placed
+    /// again.
+    void release_attempt(catalog::job &job, std::uint32_t index, bool requeue);
+    /// Requests a stop that leaves the task `grace` to save a checkpoint. A shorter grace period
+    /// replaces a longer one.
+    void request_stop(attempt &stopped, seconds grace);
+    /// Requeues the tasks that were placed on the machine or queued for it but never sent.
+    void withdraw_unsent_attempts(machine &host);
+    /// Returns an attempt number that no leader has used before.
     std::uint64_t next_attempt_number();
 
-    // --- queues: tasks that a machine won, not yet placed ---
+    // --- queues of tasks that are assigned to a machine but not placed yet ---
+    /// Returns all tasks in the queue of the machine to their jobs.
     void clear_queue(machine &host);
-    void remove_from_queue(job &owner, std::uint32_t index);
+    /// Removes the task from the queue that holds it, if any.
+    void remove_from_queue(catalog::job &job, std::uint32_t index);
 
+    // --- failures ---
     workers::failure_ledger &failures() { return failures_; }
     const workers::failure_ledger &failures() const { return failures_; }
 
-    // --- what is to be done next ---
+    // --- pending actions ---
     void request_planning() { is_planning_requested_ = true; }
     bool is_planning_requested() const { return is_planning_requested_; }
     void clear_planning_request() { is_planning_requested_ = false; }
-    // Commands should reach the machine without waiting for its next heartbeat.
+    /// Has commands sent to the machine directly instead of in the answer to its next heartbeat.
     void mark_for_direct_command(const std::string &machine) {
         direct_command_targets_.insert(machine);
     }
-    // Machines marked so that can be sent a command now; the others stay marked.
+    /// Removes and returns the marked machines that can be sent a command now. Those with a direct
+    /// command in flight stay marked; the marks of machines that are not up are dropped.
     std::vector<std::string> take_direct_command_targets();
 
   private:
@@ -146,10 +158,10 @@
     std::vector<machine_type> types_;
     std::map<std::string, job> jobs_;
     std::map<std::string, machine> machines_;
-    std::map<std::string, time_point> removed_;
+    std::map<std::string, time_point> removed_; ///< Time of removal by machine.
     std::vector<machine_class> machine_classes_;
     std::map<std::string, std::uint32_t> image_numbers_;
-    std::map<std::string, recent_service> recent_services_; // by class
+    std::map<std::string, recent_service> recent_services_; ///< By job class.
     std::optional<job_spec> latest_array_;
     bidding::estimates estimates_;
     workers::failure_ledger failures_;
@@ -161,12 +173,12 @@
 template <class Visitor>
 void cluster_state::for_each_attempt(machine &host, Visitor visit) {
     for (const auto &task : host.attempts) {
-        auto *owner = find_job(task.job);
-        if (!owner)
+        auto *job = find_job(task.job);
+        if (!job)
             continue;
-        auto found = owner->live.find(task.index);
-        if (found != owner->live.end())
-            visit(*owner, found->second);
+        auto found = job->live.find(task.index);
+        if (found != job->live.end())
+            visit(*job, found->second);
     }
 }
 
--- a/src/workers/attempt_liveness.cpp
+++ b/src/workers/attempt_liveness.cpp
@@ -1,4 +1,4 @@
-// The proofs that an attempt is gone.
+// Decides whether an attempt is proven gone; the header lists the proofs.
 #include "workers/attempt_liveness.hpp"
 
 namespace spindlecroft::workers {
@@ -7,7 +7,7 @@
 
 namespace {
 
-// That a task is done is a fact, which is being recorded.
+// A completed attempt is never given up: its result is being recorded.
 bool is_result(const catalog::attempt &attempt) {
     return attempt.phase == attempt_phase::exited && attempt.cause == exit_cause::done;
 }
@@ -16,7 +16,7 @@
     return proven ? attempt_liveness::gone : attempt_liveness::possibly_live;
 }
 
-// No heartbeat of the worker has listed the attempt yet.
+// For an attempt that no heartbeat has listed yet.
 attempt_liveness assess_unlisted_start(const catalog::attempt &attempt, const machine &machine,
                                        const observation &observed) {
     if (attempt.inherited)
@@ -35,9 +35,9 @@
     switch (attempt.phase) {
     case attempt_phase::committing:
     case attempt_phase::committed:
-        return attempt_liveness::possibly_live; // not sent yet
+        return attempt_liveness::possibly_live; // its start was not sent yet
     case attempt_phase::exited:
-        // Forgotten by the worker, or its incarnation is over.
+        // The agent has removed its record, or the incarnation has ended.
         return gone_if(!is_result(attempt));
     case attempt_phase::sent:
         if (machine.has_unacknowledged_command(observed.now))
--- a/src/workers/machine.cpp
+++ b/src/workers/machine.cpp
@@ -1,20 +1,22 @@
+// Mirrors the image cache of a machine's agent.
 #include "workers/machine.hpp"
 
 namespace spindlecroft::workers {
 
-// The worker keeps the most recently used images that fit its disk; we follow the same rule.
+// The agent evicts the least recently used images when its disk is full; the same rule applies
+// here.
 void machine::note_image_use(const std::string &image, double size_gb, time_point now) {
     image_last_used[image] = now;
     image_gb[image] = size_gb;
-    double total = 0;
-    for (auto &[i, g] : image_gb)
-        total += g;
-    while (type.cache_gb > 0 && total > type.cache_gb && image_last_used.size() > 1) {
+    double total_gb = 0;
+    for (auto &[cached_image, cached_gb] : image_gb)
+        total_gb += cached_gb;
+    while (type.cache_gb > 0 && total_gb > type.cache_gb && image_last_used.size() > 1) {
         auto oldest = image_last_used.begin();
-        for (auto i = image_last_used.begin(); i != image_last_used.end(); ++i)
-            if (i->second < oldest->second)
-                oldest = i;
-        total -= image_gb[oldest->first];
+        for (auto entry = image_last_used.begin(); entry != image_last_used.end(); ++entry)
+            if (entry->second < oldest->second)
+                oldest = entry;
+        total_gb -= image_gb[oldest->first];
         image_gb.erase(oldest->first);
         image_last_used.erase(oldest);
     }
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -1,4 +1,5 @@
-// A rented machine: what its worker reported, and what must be presumed of it.
+// A rented machine as the leader sees it: what its agent reported, and what must be assumed of it
+// until a proof to the contrary.
 #pragma once
 #include "catalog/job.hpp"
 #include "common/time.hpp"
@@ -11,71 +12,78 @@
 
 namespace spindlecroft::workers {
 
+/// A task assigned to a machine's queue, for which no placement record has been written yet.
 struct queued_task {
     catalog::task_ref task;
     priority_class priority = priority_class::normal;
-    seconds estimate{};
+    seconds estimate{}; ///< Expected run time on the machine.
 };
 
+/// The leader's view of one machine, from the rental request until its removal is proven.
 struct machine {
     std::string name, address, zone;
     machine_type type;
     bool spot = false;
-    bool is_type_known = false;
+    bool is_type_known = false; ///< Whether `type` was found in the cloud's catalog.
 
-    time_point rented_at{}; // when we asked for it or first saw it
-    time_point known_at{};  // when we first knew that it exists
-    bool is_up = false;     // its worker has reported
+    time_point rented_at{}; ///< When the machine was requested, or else first seen.
+    time_point known_at{};  ///< When the leader learned that the machine exists.
+    bool is_up = false;     ///< Whether its agent has sent a message.
     time_point up_at{};
-    std::optional<time_point> listed_at;  // first seen in a machine list
-    std::optional<time_point> running_at; // first listed as running
-    bool is_deleting = false;             // a deletion is wanted or under way
+    std::optional<time_point> listed_at;  ///< When a machine list first contained it.
+    std::optional<time_point> running_at; ///< When a list first showed it in the running state.
+    bool is_deleting = false;             ///< A deletion is requested or in progress.
     std::optional<time_point> delete_sent_at;
-    std::optional<time_point> reclaim_at; // when a notice runs out
+    std::optional<time_point> reclaim_at; ///< When the cloud's reclaim notice expires.
 
+    /// Of the newest message; `token` is the highest fencing token that the agent has seen.
     std::uint64_t incarnation = 0, sequence = 0, token = 0;
-    std::optional<time_point> last_message_at; // newest heartbeat, or answer to a direct command
-    // Newest heartbeat of its own: only those let its lease be renewed.
+    /// When the newest heartbeat or reply to a direct command arrived.
+    std::optional<time_point> last_message_at;
+    /// When the newest unsolicited heartbeat arrived. Only answers to those renew the lease.
     std::optional<time_point> last_heartbeat_at;
-    bool is_silent = false;        // no word for longer than heartbeats can take
-    time_point latest_lease_end{}; // after this an unheard worker has surely killed its tasks
+    bool is_silent = false; ///< No unsolicited heartbeat within model::silence_limit().
+    /// After this, an agent that got no answer has certainly killed its tasks.
+    time_point latest_lease_end{};
 
-    // A direct command that may still arrive: it is dead only once the worker has seen a higher
-    // token, or has a newer incarnation.
+    /// Direct commands in flight. A direct command may still arrive until the agent has seen a
+    /// higher token or has a newer incarnation.
     int open_direct_commands = 0;
+    /// The highest token and incarnation of the direct commands whose outcome is unknown.
     std::uint64_t unresolved_token = 0, unresolved_incarnation = 0;
-    // An answer that carries starts and may still be on its way to the worker, who has one
-    // heartbeat in flight at a time: its next heartbeat shows that the answer came or never will.
+    /// The heartbeat whose answer carried starts and may still be in flight. An agent has only one
+    /// heartbeat in flight, so its next one shows that this answer arrived or never will.
     std::uint64_t answer_incarnation = 0, answer_sequence = 0;
-    std::optional<time_point> answer_expires_at; // the worker drops the answer from then on
+    std::optional<time_point> answer_expires_at; ///< From then on the agent drops that answer.
 
-    // Whether our words reach it, though its heartbeats reach us: the token told in answers that
-    // its heartbeats don't show yet, and how many heartbeats in a row showed nothing of what they
-    // should.
+    /// Detection of an outbound partition (see reconciliation::partition_detector): the token that
+    /// answers carried and that heartbeats should show by now.
     std::uint64_t announced_token = 0;
-    std::optional<time_point> announced_at;
-    std::optional<time_point> answered_at;
+    std::optional<time_point> announced_at; ///< When it was first sent; empty once it was shown.
+    std::optional<time_point> answered_at;  ///< When a fresh heartbeat was last answered.
+    /// Consecutive heartbeats that did not show a token or start they should have shown.
     int missed_acknowledgements = 0;
     std::optional<time_point> first_missed_acknowledgement_at;
     std::optional<time_point> outbound_partition_since;
-    std::optional<time_point> incarnation_seen_at; // when its incarnation was first heard of
+    std::optional<time_point> incarnation_seen_at; ///< When its incarnation was first seen.
 
-    std::set<catalog::task_ref> attempts;              // not proven gone
-    std::deque<queued_task> queue;                     // won, not yet placed
-    std::map<std::string, time_point> image_last_used; // cached, with the time of last use
-    std::map<std::string, double> image_gb;
-    std::size_t machine_class =
-        0;                   // number of its type, zone and kind: job rules don't tell more apart
-    bool has_changed = true; // what it holds is not yet in its bidder
-    bool has_unchecked_queue = true;       // its queue was not looked at since something changed
-    std::vector<command> cleanup_commands; // commands for tasks that nobody should have
+    std::set<catalog::task_ref> attempts; ///< Tasks with an attempt here not proven gone.
+    std::deque<queued_task> queue;        ///< Tasks assigned to it by bids, not placed yet.
+    std::map<std::string, time_point> image_last_used; ///< Cached images.
+    std::map<std::string, double> image_gb;            ///< Sizes of the cached images.
+    std::size_t machine_class = 0; ///< Index in cluster_state::machine_classes().
+    bool has_changed = true;       ///< Its bidder must be recomputed.
+    /// Something changed since planning last tried to start the tasks of its queue.
+    bool has_unchecked_queue = true;
+    std::vector<command> cleanup_commands; ///< Commands for tasks that no attempt accounts for.
 
-    double speed = 1.0; // measured, relative to what was expected
+    double speed = 1.0; ///< Measured speed relative to the run-time estimates.
     int speed_samples = 0;
     bool is_quarantined = false;
     time_point idle_since{};
-    time_point refused_until{};   // a start was refused for lack of room
-    time_point probation_until{}; // an attempt failed, and it is open whose fault it was
+    time_point refused_until{};   ///< A start was refused for lack of room.
+    time_point probation_until{}; ///< An attempt failed for an undetermined cause; see
+                                  ///< failure_ledger.
 
     bool has_unacknowledged_direct_command() const {
         return open_direct_commands > 0 || (unresolved_token > 0 && token <= unresolved_token &&
@@ -84,19 +92,23 @@
     bool has_unacknowledged_answer(time_point now) const {
         return now < answer_expires_at && incarnation == answer_incarnation;
     }
-    // A start may still arrive: what is missing is not gone, and nothing may be reaped.
+    /// Whether a start may still arrive. Meanwhile a task missing from a heartbeat is not proven
+    /// gone, and the records of exited tasks must not be removed from the machine.
     bool has_unacknowledged_command(time_point now) const {
         return has_unacknowledged_direct_command() || has_unacknowledged_answer(now);
     }
+    /// Whether the machine may be given work at all.
     bool is_usable() const {
         return !is_deleting && !is_quarantined && !reclaim_at && is_type_known &&
                !outbound_partition_since;
     }
-    // Whether it may be given new work at this time.
+    /// Whether no pause after a refusal or failure keeps new work from the machine.
     bool may_take_work(time_point now) const {
         return now >= refused_until && now >= probation_until;
     }
+    /// To be called after every change of the machine's attempts, queue or description.
     void mark_changed() { has_changed = has_unchecked_queue = true; }
+    /// Notes a use of the image and evicts others as the agent's cache does.
     void note_image_use(const std::string &image, double size_gb, time_point now);
 };
 
--- a/tests/failure_ledger_test.cpp
+++ b/tests/failure_ledger_test.cpp
@@ -1,4 +1,5 @@
-// Whose fault a failed attempt is: the machine's or the job's.
+// Attribution of failed attempts: which failures prove a machine faulty, and which prove a job
+// faulty.
 #include "constants.hpp"
 #include "test_time.hpp"
 #include "wire/codec.hpp"
@@ -19,14 +20,14 @@
 
 } // namespace
 
-TEST(failure_ledger, a_machine_that_fails_a_working_job_is_faulty_at_once) {
+TEST(failure_ledger, machine_that_fails_a_working_job_is_faulty_at_once) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(10), true);
     EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
     EXPECT_TRUE(ledger.take_faulty_machines().empty());
 }
 
-TEST(failure_ledger, a_machine_waits_on_probation_until_the_job_runs_elsewhere) {
+TEST(failure_ledger, machine_is_on_probation_until_the_job_runs_elsewhere) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(10));
     EXPECT_TRUE(ledger.take_faulty_machines().empty());
@@ -35,9 +36,9 @@
     EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
-// Guards against quarantining healthy machines on which faulty jobs met: on a day with a twentieth
-// of the jobs submitted with a mistake, 154 machines were given back so.
-TEST(failure_ledger, faulty_jobs_convict_no_machine) {
+// Guards against quarantining healthy machines on which several faulty jobs failed. On a day when
+// one job in twenty was submitted with a mistake, 154 machines were deleted for that reason.
+TEST(failure_ledger, faulty_jobs_prove_no_machine_faulty) {
     workers::failure_ledger ledger;
     time_point now{};
     for (int round = 0; round < 20; ++round)
@@ -50,7 +51,7 @@
     EXPECT_TRUE(ledger.is_suspect("job-1"));
 }
 
-TEST(failure_ledger, a_faulty_machine_is_told_among_faulty_jobs) {
+TEST(failure_ledger, faulty_machine_is_found_among_faulty_jobs) {
     workers::failure_ledger ledger;
     fail(ledger, "faulty-job", "i-1", at(1));
     fail(ledger, "faulty-job", "i-2", at(2));
@@ -59,7 +60,7 @@
     EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
-TEST(failure_ledger, a_job_that_met_two_faulty_machines_convicts_both_once_it_runs) {
+TEST(failure_ledger, job_that_failed_on_two_machines_proves_both_faulty_once_it_runs) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(1));
     EXPECT_TRUE(fail(ledger, "job-1", "i-2", at(2)));
@@ -69,10 +70,10 @@
     EXPECT_EQ(ledger.take_faulty_machines(), (names{"i-1", "i-2"}));
 }
 
-TEST(failure_ledger, a_machine_that_ran_something_since_is_not_faulty) {
+TEST(failure_ledger, machine_that_ran_an_attempt_since_the_failure_is_not_faulty) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(1));
-    ledger.note_machine_works("i-1", at(0.5)); // placed before the failure: proves nothing
+    ledger.note_machine_works("i-1", at(0.5)); // placed before the failure, so it proves nothing
     EXPECT_GT(ledger.probation_until("i-1"), at(1));
     ledger.note_machine_works("i-1", at(2));
     EXPECT_EQ(ledger.probation_until("i-1"), at(0));
@@ -80,26 +81,26 @@
     EXPECT_TRUE(ledger.take_faulty_machines().empty());
 }
 
-TEST(failure_ledger, a_machine_that_fails_all_it_is_given_is_faulty_though_nothing_runs_elsewhere) {
+TEST(failure_ledger, machine_that_fails_several_jobs_is_faulty_even_if_they_run_nowhere_else) {
     workers::failure_ledger ledger;
-    for (std::size_t k = 0; k < constants::undecided_jobs; ++k) {
+    for (std::size_t count = 0; count < constants::undecided_jobs; ++count) {
         EXPECT_TRUE(ledger.take_faulty_machines().empty());
-        fail(ledger, "job-" + std::to_string(k), "i-1", at(static_cast<double>(k)));
+        fail(ledger, "job-" + std::to_string(count), "i-1", at(static_cast<double>(count)));
     }
     EXPECT_EQ(ledger.take_faulty_machines(), names{"i-1"});
 }
 
-TEST(failure_ledger, a_suspect_job_is_retried_at_growing_intervals) {
+TEST(failure_ledger, suspect_job_is_retried_at_growing_intervals) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(0));
     EXPECT_EQ(ledger.retry_at("job-1"), at(0));
     fail(ledger, "job-1", "i-2", at(0));
     auto first = ledger.retry_at("job-1");
     EXPECT_EQ(first, at(0) + constants::job_backoff);
-    fail(ledger, "job-1", "i-3", at(1)); // of the same wave
+    fail(ledger, "job-1", "i-3", at(1)); // of the same wave of attempts
     EXPECT_EQ(ledger.retry_at("job-1"), first);
     auto now = first;
-    for (int k = 0; k < 20; ++k) {
+    for (int retry = 0; retry < 20; ++retry) {
         fail(ledger, "job-1", "i-4", now);
         EXPECT_GT(ledger.retry_at("job-1"), now);
         EXPECT_LE(ledger.retry_at("job-1"), now + constants::job_backoff_max);
@@ -110,27 +111,27 @@
     EXPECT_EQ(ledger.retry_at("job-1"), now + constants::job_backoff_max);
 }
 
-TEST(failure_ledger, what_failed_late_needs_a_longer_run_as_proof) {
+TEST(failure_ledger, job_that_failed_late_must_run_longer_to_count_as_working) {
     workers::failure_ledger ledger;
     EXPECT_EQ(ledger.required_run_time("job-1"), constants::proof_least);
     ledger.record_failure({"job-1", "i-1", 8s, false}, at(10));
     EXPECT_GT(ledger.required_run_time("job-1"), 8s * constants::proof_runs);
 }
 
-TEST(failure_ledger, suspects_survive_a_change_of_leader) {
+TEST(failure_ledger, suspects_survive_a_failover) {
     workers::failure_ledger ledger;
     fail(ledger, "job-1", "i-1", at(0));
     fail(ledger, "job-1", "i-2", at(0));
     fail(ledger, "job-2", "i-3", at(0));
     auto record = wire::encode_suspects(ledger.suspects());
     EXPECT_LE(record.size(), wire::suspects_bytes("") + wire::suspects_bytes("job-1"));
-    workers::failure_ledger next;
+    workers::failure_ledger successor;
     for (auto &job : wire::parse_suspects(record))
-        next.restore_suspect(job, at(5));
-    EXPECT_TRUE(next.is_suspect("job-1"));
-    EXPECT_FALSE(next.is_suspect("job-2"));
-    EXPECT_FALSE(fail(next, "job-1", "i-1", at(20)));
-    EXPECT_EQ(next.probation_until("i-1"), at(0));
+        successor.restore_suspect(job, at(5));
+    EXPECT_TRUE(successor.is_suspect("job-1"));
+    EXPECT_FALSE(successor.is_suspect("job-2"));
+    EXPECT_FALSE(fail(successor, "job-1", "i-1", at(20)));
+    EXPECT_EQ(successor.probation_until("i-1"), at(0));
     EXPECT_THROW((void)wire::parse_suspects(R"({"jobs":[1]})"), wire::malformed_message);
     EXPECT_THROW((void)wire::parse_suspects(R"({})"), wire::malformed_message);
 }
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -17,8 +17,6 @@
 using namespace spindlecroft;
 using namespace std::chrono_literals;
 using test::at;
-namespace c = constants;
-
 namespace {
 
 class fleet_parts : public testing::Test {
@@ -72,21 +70,21 @@
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small);
     offers.note_refused(cheapest_small, at(1));
     EXPECT_EQ(cheapest_key(offers, at(1)), (fleet::offer_key{"small", "b", true}));
-    EXPECT_NE(cheapest_key(offers, at(0.9) + c::refused_capacity), cheapest_small);
-    EXPECT_EQ(cheapest_key(offers, at(1) + c::refused_capacity), cheapest_small);
+    EXPECT_NE(cheapest_key(offers, at(0.9) + constants::refused_capacity), cheapest_small);
+    EXPECT_EQ(cheapest_key(offers, at(1) + constants::refused_capacity), cheapest_small);
 }
 
 TEST_F(offers_test, a_sold_out_offer_is_not_asked_for_many_times_over) {
     fleet::offer_catalog offers(state);
-    offers.add_pending(cheapest_small, 3 * c::machines_per_request);
+    offers.add_pending(cheapest_small, 3 * constants::machines_per_request);
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small) << "it was never refused";
 
     offers.note_refused(cheapest_small, at(1));
-    auto later = at(1) + c::refused_capacity;
+    auto later = at(1) + constants::refused_capacity;
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
 
     offers.clear_pending();
-    offers.add_pending(cheapest_small, c::machines_per_request - 1);
+    offers.add_pending(cheapest_small, constants::machines_per_request - 1);
     EXPECT_EQ(cheapest_key(offers, later), cheapest_small) << "one request is not full yet";
     offers.add_pending(cheapest_small, 1);
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
@@ -113,7 +111,7 @@
     for (auto &type : types)
         type.price = 100 * type.spot_price;
     state.set_types(types);
-    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), c::ordinary_patience);
+    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), constants::ordinary_patience);
     for (auto &type : types)
         type.spot_price = 0;
     state.set_types(types);
@@ -156,7 +154,7 @@
     EXPECT_TRUE(requests.take_requests(at(3)).empty()) << "it is under way";
     requests.on_outcome_unknown(sent[0].request, at(4));
     EXPECT_TRUE(requests.take_requests(at(4)).empty());
-    EXPECT_EQ(requests.take_requests(at(4) + c::rental_retry).size(), 1u);
+    EXPECT_EQ(requests.take_requests(at(4) + constants::rental_retry).size(), 1u);
 }
 
 TEST_F(rental_requests_test, a_record_is_dropped_only_when_every_machine_is_listed_or_gone) {
@@ -187,22 +185,22 @@
 
 TEST_F(rental_requests_test, wishes_of_a_round_share_requests_and_a_record) {
     fleet::rental_requests requests(state, 4096);
-    for (int wish = 0; wish < c::machines_per_request + 10; ++wish)
+    for (int wish = 0; wish < constants::machines_per_request + 10; ++wish)
         requests.add(offer_of_small(), 1, at(1));
     auto changes = requests.take_record_changes();
     ASSERT_EQ(changes.size(), 1u);
     const auto &written = changes[0].record->requests;
     ASSERT_EQ(written.size(), 2u);
-    EXPECT_EQ(written[0].count, c::machines_per_request);
+    EXPECT_EQ(written[0].count, constants::machines_per_request);
     EXPECT_EQ(written[1].count, 10);
 }
 
 TEST_F(rental_requests_test, a_round_has_as_many_records_as_its_requests_need) {
     std::size_t bytes = wire::rental_bytes({}) +
-                        wire::rental_bytes({"r-5-1", "small", "a", true, c::machines_per_request});
+                        wire::rental_bytes({"r-5-1", "small", "a", true, constants::machines_per_request});
     fleet::rental_requests requests(state, bytes);
-    requests.add(offer_of_small(), c::machines_per_request, at(1));
-    requests.add(offer_of_small(), c::machines_per_request, at(1));
+    requests.add(offer_of_small(), constants::machines_per_request, at(1));
+    requests.add(offer_of_small(), constants::machines_per_request, at(1));
     EXPECT_EQ(requests.take_record_changes().size(), 2u);
 }
 
@@ -252,7 +250,7 @@
     state.find_machine("cut-2")->last_heartbeat_at = now;
     health.check(now + 1s);
     EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
-    now += c::cut_return + 1s;
+    now += constants::cut_return + 1s;
     hear_others(now);
     state.find_machine("cut-1")->last_heartbeat_at = now;
     state.find_machine("cut-2")->last_heartbeat_at = now;
@@ -265,7 +263,7 @@
     fleet::machine_health health(settings, state);
     for (int k = 0; k < 3; ++k)
         add_running(fmt::format("cut-{}", k), "a").last_heartbeat_at = at(0);
-    auto last = model::silence_limit(settings) + settings.lease_duration + c::cut_patience;
+    auto last = model::silence_limit(settings) + settings.lease_duration + constants::cut_patience;
     for (auto now = at(0); now <= at(0) + last; now += 5s)
         health.check(now);
     EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
@@ -277,7 +275,7 @@
     fleet::machine_health health(settings, state);
     auto &machine = state.find_or_add_machine("i-1", at(0));
     state.update_description(machine, "large", "a", false, "");
-    auto late = at(5) + c::boot_late * machine.type.boot_time;
+    auto late = at(5) + constants::boot_late * machine.type.boot_time;
     health.check(late);
     EXPECT_FALSE(machine.is_deleting);
     health.check(late + 1s);
