--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -1,4 +1,4 @@
-// Every constant of the program, each with its unit and the reason for its value.
+// Every constant of the program, each with its unit and, where needed, the reason for its value.
 #pragma once
 #include "common/time.hpp"
 #include <cstddef>
@@ -6,340 +6,357 @@
 
 namespace spindlecroft::constants {
 
-// --- limits of the wire (PROTOCOL) ---
-// Bytes of a request's body.
+// --- limits of the wire protocols ---
+/// Largest body of a request to a controller; bytes.
 inline constexpr std::size_t max_request_body_bytes = std::size_t{64} * 1024;
-// Bytes of a response line.
+/// Largest answer to a worker's heartbeat, with its header; bytes.
 inline constexpr std::size_t max_heartbeat_answer_bytes = std::size_t{64} * 1024;
-// Bytes of an answer to us. The answer to a watch has no bound of its own: this one is ours.
+/// Largest body of an answer to one of our requests; bytes. The protocol doesn't bound the answer
+/// to a watch of the key-value store; this limit does.
 inline constexpr std::size_t max_response_body_bytes = std::size_t{8} * 1024 * 1024;
-// Tasks in one job.
+/// Most tasks in one job.
 inline constexpr std::uint64_t max_tasks_per_job = 100'000;
-// The key-value store's largest page.
+/// Keys in one page of a read; the most that the key-value store allows.
 inline constexpr int key_value_page_size = 1000;
-// The cloud's largest page.
+/// Machines in one page of the cloud's list; the most that the cloud allows.
 inline constexpr int machine_list_page_size = 500;
-// Machines in one rental request.
+/// Most machines in one rental request.
 inline constexpr int max_machines_per_rental_request = 50;
-// Names in one deletion.
+/// Most machines in one deletion.
 inline constexpr int max_machines_per_deletion = 100;
-// Bytes kept free in each value.
+/// Bytes left free below the key-value store's limit in each value.
 inline constexpr std::size_t value_size_margin = 16;
-// Bytes of a transaction's operations: 64 KiB less room for its conditions.
+/// Most bytes of a transaction's operations: 64 KiB less space for its conditions.
 inline constexpr std::size_t max_txn_bytes = std::size_t{48} * 1024;
 
 // --- amounts of resources ---
-// Amounts are decimal, so sums of them are not exact: comparisons allow for this much.
+/// Tolerance in comparisons of resource amounts: they are decimal numbers, so that sums of them are
+/// not exact.
 inline constexpr double resource_tolerance = 1e-9;
 
-// Bytes; kept free in a line for its headers.
+/// Bytes of a heartbeat's answer that are left free for the header.
 inline constexpr std::size_t heartbeat_answer_header_margin = 1024;
 
 // --- clocks ---
-// Ratio; how far two steady clocks may drift apart.
+/// Most relative drift between the steady clocks of two machines.
 inline constexpr double max_clock_drift = 0.0005;
-// Covers timer steps and the 100 ms late end of a lease.
+/// Added to a worker's lease: covers timer steps and leases that end up to 100 ms late.
 inline constexpr seconds lease_slack{0.25};
 
 // --- server and clients ---
-// A node without the key-value store and without word from other nodes for so long sends users
-// elsewhere.
+/// A controller without an answer from the key-value store for longer than this reports that it is
+/// not ready if the store answers a peer, or if no peer was heard from for this long either.
 inline constexpr seconds isolation_timeout{4.0};
-// Between counts of tasks, which are for display.
+/// Least time between two requests to the leader for task counts, which are only displayed.
 inline constexpr seconds progress_query_interval{2.0};
-// Users give up after 5 s, and are answered before that.
+/// Time limit for the answer to a user, who gives up after 5 s.
 inline constexpr seconds user_request_timeout{4.0};
-// A quiet keep-alive connection is then closed.
+/// A keep-alive connection without requests is closed after this.
 inline constexpr seconds idle_connection_timeout{75};
-// A request must arrive whole within this.
+/// A request must have arrived whole, and its answer must have been sent, within this.
 inline constexpr seconds server_request_timeout{5.0};
-// Answers usually take 10 ms, now and then hundreds.
+/// Timeout of a request to the key-value store. Answers usually take 10 ms, sometimes hundreds.
 inline constexpr seconds key_value_timeout{1.5};
-// Renting takes longer than reading.
+/// Timeout of a request to the cloud; renting machines takes longer than reading.
 inline constexpr seconds cloud_timeout{6.0};
-// A vote is worth little when it comes later.
+/// Timeout of a request to another controller; short, because a vote counts from the moment at
+/// which it was requested.
 inline constexpr seconds peer_timeout{0.6};
-// A command that takes longer counts as unresolved.
+/// A command without an answer for this long has an unknown outcome.
 inline constexpr seconds command_timeout{2.5};
-// Connections kept open to one host.
+/// Most idle connections kept open to one host.
 inline constexpr std::size_t max_idle_connections_per_host = 4;
-// Told to users who get 503.
+/// Retry-After header of 503 answers to users; seconds.
 inline constexpr int retry_after_s = 1;
-// Share of the sockets for commands to workers; beyond it they are closed after use.
+/// Share of the sockets for commands to workers; beyond it their connections are closed after use.
 inline constexpr double command_socket_share = 0.1;
-// Share for the other controllers.
+/// Share of the sockets for connections from other controllers.
 inline constexpr double peer_socket_share = 0.04;
-// A few for each other controller.
+/// Least number of sockets for connections from other controllers; some for each of them.
 inline constexpr std::size_t min_peer_sockets = 16;
-// Sockets to the key-value store, the cloud and other controllers, and the listeners.
+/// Sockets for connections to the key-value store, the cloud and other controllers, and for the
+/// listeners.
 inline constexpr std::size_t reserved_sockets = 40;
-// Share of the listener's sockets beyond which users are sent away and workers' are not kept.
+/// Share of a listener's sockets above which users get 503 and workers' connections are closed
+/// after the answer.
 inline constexpr double crowded_connection_share = 0.85;
-// Bytes of a request's header.
+/// Largest header of a request to a controller; bytes.
 inline constexpr std::size_t max_request_header_bytes = std::size_t{16} * 1024;
-// Out of sockets, until some may have closed.
+/// Pause of a listener that failed to accept a connection because no socket is free.
 inline constexpr seconds accept_retry_delay{0.05};
 
-// Share of the cloud's rate that is used.
+/// Share of the cloud's request rate that a controller uses.
 inline constexpr double cloud_rate_share = 0.9;
-// The cloud permits bursts worth this long.
+/// Length of a burst at the full rate that the cloud permits.
 inline constexpr seconds cloud_burst_duration{2.0};
-// Between two looks for room in the cloud's budget.
+/// Time between two checks whether the cloud's request rate permits another request.
 inline constexpr seconds rate_limit_poll_interval{0.05};
-// After a deletion without an answer.
+/// Pause after a deletion that was not answered.
 inline constexpr seconds deletion_retry_delay{1.0};
-// Between two reads of the machine types at the start.
+/// Pause between two attempts to read the machine types at the start.
 inline constexpr seconds machine_types_retry_delay{0.5};
-// A question waits this long for the shared read.
+/// Most time that a user's query about a job waits for the read of the jobs that it shares with
+/// other queries.
 inline constexpr seconds job_query_read_timeout{1.5};
-// Kept of a user's time for the read and the answer.
+/// Part of the time limit of a user's request that is reserved for a read and the answer.
 inline constexpr seconds user_request_reserve{1.5};
-// A change is given at least this long.
+/// Least time limit of a write, however little is left of the user's request.
 inline constexpr seconds min_commit_timeout{0.2};
 
 // --- leadership ---
-// A new leader's read of the jobs is tried anew then.
+/// Time limit of a new leader's read of the jobs, after which it is retried.
 inline constexpr seconds failover_read_timeout{1.0};
-// A heartbeat waits this long for a new leader's state.
+/// Most time that a heartbeat waits until a new leader has loaded its state.
 inline constexpr seconds heartbeat_failover_timeout{1.5};
-// Between two looks whether it is there.
+/// Time between two checks whether the new leader's state is loaded.
 inline constexpr seconds failover_poll_interval{0.05};
-// Least time between two rounds of the leader.
+/// Least time between two rounds of the leader's control loop.
 inline constexpr seconds min_control_loop_pause{0.02};
-// Most time between them without news.
+/// Most time between two rounds of the control loop when nothing happens.
 inline constexpr seconds max_control_loop_pause{0.2};
-// Long enough for three renewals, short for failover.
+/// Duration of the leader's lease at the key-value store: long enough for three renewals, short
+/// enough for a quick failover.
 inline constexpr seconds leader_lease_duration{3.0};
-// Between renewals and vote rounds.
+/// Time between two renewals of the leader's lease and votes.
 inline constexpr seconds leader_renew_interval{0.75};
-// Length of a vote to a leader.
+/// Duration of a vote for a leader.
 inline constexpr seconds leader_vote_duration{3.0};
-// Length of a vote to a candidate.
+/// Duration of a vote for a candidate.
 inline constexpr seconds candidate_vote_duration{2.0};
-// Spreads candidates that saw the same end.
+/// Most random delay of a campaign: spreads the candidates that saw the same leadership end.
 inline constexpr seconds candidacy_jitter{0.35};
-// Head start of the candidate that one voted for.
+/// Further delay of a controller that has voted for another candidate, which so goes first.
 inline constexpr seconds candidacy_yield_delay{0.2};
-// Between looks whether one may campaign.
+/// Time between two checks whether this controller may campaign.
 inline constexpr seconds campaign_check_interval{0.2};
-// After a campaign without a majority.
+/// Least and most time of the random pause after a campaign without a majority.
 inline constexpr seconds min_campaign_pause{0.1};
 inline constexpr seconds max_campaign_pause{0.4};
-// Between a leadership and the next look at the key.
+/// Pause between the end of a leadership and the next read of the leader key.
 inline constexpr seconds leader_key_check_delay{0.1};
-// Most time between two looks of a leader.
+/// Most time between two rounds of a leader's duties (votes, lease, token).
 inline constexpr seconds leader_poll_interval{0.1};
-// Least time of a wait for news.
+/// Least time of a wait for a notification.
 inline constexpr seconds min_wait{0.01};
-// A leader this long without state steps down to one with it.
+/// A leader without the key-value store for this long steps down if another controller reaches it.
 inline constexpr seconds step_down_store_silence{4.0};
-// A node whose last answer from the key-value store is older can't say that it is served.
+/// A controller counts as served by the key-value store if its last answer is no older.
 inline constexpr seconds store_serving_timeout{2.5};
-// A leader steps down only on a report of the key-value store that is no older.
+/// Greatest age of a peer's report of the key-value store on which a leader steps down.
 inline constexpr seconds step_down_report_max_age{0.25};
-// Users are sent elsewhere on one no older.
+/// Greatest age of a peer's report of the key-value store that makes this controller not ready.
 inline constexpr seconds readiness_report_max_age{3.0};
-// A controller with a heartbeat no older is reached by workers.
+/// A peer whose latest heartbeat is no older is reached by the workers.
 inline constexpr seconds peer_heartbeat_max_age{3.0};
-// Cancels at hand for the leader; some minutes of them, about 0.5 MB.
+/// Cancels that a controller keeps in memory for the leader: those of some minutes, about 0.5 MB.
 inline constexpr std::size_t max_kept_cancels = 4000;
-// Cancels; 50 KiB with the longest ids.
+/// Cancels in one answer to the leader; 50 KiB with the longest job ids.
 inline constexpr std::size_t max_cancels_per_answer = 400;
-// A leader this long without heartbeats steps down to one with them.
+/// A leader without heartbeats for this long steps down if another controller receives them.
 inline constexpr seconds step_down_heartbeat_silence{8.0};
-// It is no candidate for this long.
+/// Time after stepping down in which a controller does not campaign.
 inline constexpr seconds step_down_campaign_pause{20.0};
 
-// Taken off every vote and lease that we rely on.
+/// Subtracted from every vote and lease that a leader relies on.
 inline constexpr seconds authority_margin{0.1};
 
-// Kept back of cancel_s for answers and commands on their way.
+/// Part of the cancel deadline (cancel_s) reserved for answers and commands in transit.
 inline constexpr seconds cancel_delivery_margin{3.0};
-// A leader may be without news of cancels this long at least.
+/// Least time that a leader goes on renewing workers' leases without knowing the newest cancels.
 inline constexpr seconds min_cancel_silence{4.0};
-// A leader reads the jobs' records at least this often.
+/// The leader reads the jobs' records again when its last read is older.
 inline constexpr seconds leader_max_read_age{2.0};
 
 // --- key-value store ---
-// Of the limits; all nodes together plan to use no more.
+/// Share of the key-value store's rate limits that all controllers together use.
 inline constexpr double key_value_rate_share = 0.9;
-// Of the writes; the leader may use no more.
+/// Share of the permitted writes that the leader may use.
 inline constexpr double leader_write_share = 0.85;
-// A transaction waits this long for others to join.
+/// Time that a transaction waits for further writes to join it.
 inline constexpr seconds commit_batch_delay{0.03};
-// Between two shared reads for waiting polls.
+/// Time between two reads that are shared by waiting requests.
 inline constexpr seconds shared_read_interval{0.15};
-// Between two openings of the leader's long watch.
+/// Time between two openings of the watch on jobs at the leader.
 inline constexpr seconds leader_watch_interval{0.10};
-// The same elsewhere: there each poll asks for its own read.
+/// The same at the other controllers, where each query requests a read of its own.
 inline constexpr seconds follower_watch_interval{1.0};
-// A watch without news returns after this.
+/// A watch without events returns after this; milliseconds.
 inline constexpr int watch_hold_ms = 10'000;
-// A change that waited so long is not passed by more urgent ones any more.
+/// A write that has waited for this long is no longer overtaken by more urgent ones.
 inline constexpr seconds write_aging_time{0.4};
-// Pause after a refusal or an outage.
+/// Pause after a refusal or an outage of the key-value store.
 inline constexpr seconds key_value_retry_delay{0.25};
-// Refusals of changes are counted within it.
+/// Window in which refused writes are counted.
 inline constexpr seconds write_refusal_window{10.0};
-// Refusals in the window; they show that the key-value store has its smaller limit.
+/// Refusals within the window that show that the key-value store's announced smaller limit is in
+/// force.
 inline constexpr int refusals_for_next_limit = 3;
-// Waiting changes; beyond it users get 503.
+/// Most waiting writes; beyond it users get 503.
 inline constexpr std::size_t max_queued_commits = 4000;
-// Tasks of a job in one part of a done record (1 KiB as hex digits).
+/// Tasks of a job in one part of a done record (1 KiB as hex digits).
 inline constexpr std::uint64_t tasks_per_done_part = 4096;
-// Of the leader's writes; no more goes to placements of arrays.
+/// Share of the leader's writes that placements of arrays may use.
 inline constexpr double placement_write_share = 0.4;
-// Share of the largest value that a placement record takes.
+/// Share of the largest value that a placement record may fill.
 inline constexpr double placement_record_fill = 0.9;
-// A done record waits this long for more tasks of its job.
+/// Time that a done record waits for more finished tasks before it is written.
 inline constexpr seconds done_record_delay{1.5};
-// Between two searches for placement records that ended.
+/// Time between two searches for placement records that are no longer needed.
 inline constexpr seconds record_cleanup_interval{2.0};
-// Requests; about 1.5 KiB.
+/// Most rental requests in one record; about 1.5 KiB.
 inline constexpr std::size_t max_rentals_per_record = 16;
-// Ended jobs whose state is kept at hand.
+/// Most ended jobs whose state is kept in memory.
 inline constexpr std::size_t max_cached_ended_jobs = 4000;
-// Ids that nobody submitted, kept at hand; about 0.5 MB.
+/// Most ids of jobs that don't exist that are kept in memory; about 0.5 MB.
 inline constexpr std::size_t max_cached_absent_jobs = 4000;
-// Reads under way for questions about single jobs; beyond it users get 503 at once.
+/// Most concurrent reads of single ended jobs for users; beyond it they get 503 at once.
 inline constexpr std::size_t max_concurrent_ended_reads = 32;
 
 // --- workers ---
-// A worker drops an answer that comes later.
+/// A worker drops the answer to a heartbeat that arrives later.
 inline constexpr seconds worker_answer_timeout{4.0};
-// Heartbeats in a row that show nothing of our answers.
+/// Consecutive heartbeats without a sign of our answers that suggest an outbound partition.
 inline constexpr int outbound_partition_heartbeats = 2;
-// Of the lease; a incarnation that ends so soon after our answer did not get it.
+/// Share of the lease: an agent incarnation that ends so soon after our answer did not receive it.
 inline constexpr double outbound_partition_lease_share = 0.7;
-// Leases; a machine outbound-partitioned for longer is given back: by then it has shown whether it
-// hears.
+/// A machine in an outbound partition for longer than this multiple of the lease is returned: by
+/// then it would have shown that it receives our answers.
 inline constexpr double outbound_partition_max_leases = 1.6;
-// Report intervals without a word before a machine is silent.
+/// Heartbeat intervals without a heartbeat after which a machine is silent.
 inline constexpr double silence_heartbeat_intervals = 3.0;
-// Added to it, a heartbeat may be retried at another node.
+/// Added to that time, because a worker may retry a heartbeat at another controller.
 inline constexpr seconds silence_margin{2.0};
-// Of the time after which a machine is silent; longer than the longest report interval.
+/// Share of the time until a machine is silent after which it counts as quiet; longer than the
+/// longest heartbeat interval.
 inline constexpr double quiet_silence_share = 0.5;
-// Above this share of silent machines we doubt ourselves.
+/// Share of quiet machines above which the fault is assumed on our side: silent machines are then
+/// not deleted.
 inline constexpr double fleet_cut_off_share = 0.5;
-// Above this share of a zone's machines it is cut off.
+/// Share of a zone's quiet machines above which the zone counts as cut off.
 inline constexpr double zone_cut_off_share = 0.7;
-// Beyond their leases, silent machines of a cut zone are kept.
+/// Time after the end of their leases for which silent machines of a zone that is cut off are kept.
 inline constexpr seconds zone_cut_off_grace{30.0};
-// After a cut, the time for its machines to heartbeat again.
+/// Time that the machines of a zone have for their next heartbeat after it was cut off.
 inline constexpr seconds zone_reconnect_grace{10.0};
-// Least time between two raises of the token.
+/// Least time between two raises of the fencing token.
 inline constexpr seconds min_token_raise_interval{6.0};
 
 // --- bidding ---
-// Added to a bid that would stop other work.
+/// Added to a bid that would preempt other work.
 inline constexpr seconds preemption_cost{3.0};
-// Between two lines of the log about the fleet.
+/// Time between two summaries of the fleet in the log, and idle time after which connections to
+/// workers are closed.
 inline constexpr seconds summary_interval{10.0};
-// Most time between two rounds of bids.
+/// Most time between two planning rounds.
 inline constexpr seconds max_planning_interval{1.0};
-// Least time between two rounds of bids.
+/// Least time between two planning rounds.
 inline constexpr seconds min_planning_interval{0.1};
-// What is left of running work is worked out anew at least this often.
+/// A machine's remaining work is recomputed when its last estimate is older.
 inline constexpr seconds max_bidder_age{2.0};
-// Between two looks over all machines for leases, silence and late cancels.
+/// Time between two checks of all machines for leases, silence and late cancels.
 inline constexpr seconds machine_check_interval{0.3};
-// A worker queue holds this much estimated work.
+/// Most estimated work in a worker's queue.
 inline constexpr seconds max_queue_time{20.0};
-// Tasks; so many wait at most in a worker queue, however short they are.
+/// Most tasks in a worker's queue, however short they are.
 inline constexpr std::size_t max_queued_tasks = 6;
-// Bids; a round stops there and goes on in the next, so that heartbeats are answered between.
+/// Bids after which a planning round is continued in the next one, so that heartbeats are answered
+/// in between.
 inline constexpr int max_bids_per_round = 2000;
-// Ratio; after a round the leader answers for as long as the round took.
+/// Pause of the control loop as a multiple of its last round: the leader answers requests
+/// meanwhile.
 inline constexpr double control_loop_rest_ratio = 1.0;
-// A machine idle for this long has tasks bid again.
+/// Least time between two rounds of new bids for queued tasks, which idle machines trigger.
 inline constexpr seconds min_rebid_interval{1.0};
-// Weight of the newest measurement of a machine's speed.
+/// Weight of the newest sample in a machine's moving average of speed.
 inline constexpr double speed_sample_weight = 0.15;
-// Weight of the newest measurement of a class's estimates.
+/// Weight of the newest sample in a job class's moving average of the error of its estimates.
 inline constexpr double class_sample_weight = 0.1;
-// A machine slower than this counts as this fast.
+/// Least speed of a machine in estimates; slower ones count as this fast.
 inline constexpr double min_speed = 0.1;
-// A machine slower than this is given back.
+/// A machine slower than this is returned.
 inline constexpr double slow_machine_speed = 0.6;
-// Tasks; measurements needed before it counts as slow.
+/// Samples needed before a machine can count as slow; tasks.
 inline constexpr int min_speed_samples = 5;
-// Where the owner gives no estimate.
+/// Run time of a task whose user gives no estimate.
 inline constexpr seconds default_run_time_estimate{30.0};
-// Machines; a job that failed on so many and ran on none is suspect.
+/// Machines on which a job that has run on none must have failed to be suspect.
 inline constexpr std::size_t suspect_job_machines = 2;
-// Jobs; a machine on which so many failed that ran nowhere else since counts as faulty.
+/// Jobs that failed on a machine, and have run nowhere else since, after which it counts as faulty.
 inline constexpr std::size_t faulty_machine_jobs = 3;
-// A machine gets no work while it is open whose fault a failure was.
+/// Time without new work for a machine while it is undecided whether it or the job caused a
+/// failure.
 inline constexpr seconds machine_probation{10.0};
-// An attempt that runs for so long has not failed at its start.
+/// An attempt that runs for this long at least has not failed at its start.
 inline constexpr seconds min_proof_run_time{2.0};
-// Of the longest failed run; beyond it a job works.
+/// A job counts as working once it has run for this multiple of its longest failed run.
 inline constexpr double proof_run_time_ratio = 2.0;
-// Between two records of the suspect jobs, of which nobody waits for one.
+/// Least time between two writes of the record of suspect jobs, for which nothing waits.
 inline constexpr seconds suspects_write_interval{2.0};
-// First pause of a job whose tasks fail; doubles.
+/// First backoff of a job whose tasks fail; doubles with each failure.
 inline constexpr seconds initial_job_backoff{5.0};
-// Longest such pause.
+/// Longest backoff of such a job.
 inline constexpr seconds max_job_backoff{60.0};
-// Added to a replica's bid for each array task it displaces.
+/// Added to a service replica's bid for each array task that it displaces.
 inline constexpr seconds displaced_slot_cost{0.4};
-// Guaranteed work that would wait longer stops others.
+/// Work within a team's guarantee that would wait longer preempts other work.
 inline constexpr seconds max_guarantee_wait{6.0};
-// A job without deadline or aim should be done by then.
+/// Due time of a job without a deadline or objective, from the moment at which it is ready.
 inline constexpr seconds default_due_time{120.0};
-// A job that waited so long without a task is served first: users give the largest 240 s.
+/// A job that has waited for longer without any task is served first; users give even the largest
+/// job 240 s.
 inline constexpr seconds starvation_threshold{100.0};
-// A job past all due times that waited so long has a share of its own.
+/// A late job that has waited for longer gets a share of its own.
 inline constexpr seconds aging_threshold{150.0};
-// Of the slots; for the oldest such job, so that large ones end too.
+/// Share of the slots for the late job that has waited longest, so that large jobs end too.
 inline constexpr double aged_job_share = 0.05;
-// A start that was refused is tried again after this.
+/// Pause after a worker refused to start a task.
 inline constexpr seconds refused_start_pause{3.0};
 
-// Of cancel_s; a machine not proven clean by then is deleted.
+/// Share of the cancel deadline (cancel_s) after which a machine that is not proven free of the
+/// job's tasks is deleted.
 inline constexpr double cancel_delete_share = 0.35;
-// Ratio; notices may last this much longer than told.
+/// Factor by which a reclaim notice may last longer than announced.
 inline constexpr double reclaim_notice_tolerance = 1.5;
 
 // --- dependencies ---
-// From the last task of a job to the first of the next: heartbeat, records, commands.
+/// Time from the last task of a job to the first of its dependent: heartbeat, records, commands.
 inline constexpr seconds chain_stage_latency{3.0};
-// Ratio; the longest of a job's tasks to the usual one.
+/// Ratio of the longest run time among a job's tasks to the expected one.
 inline constexpr double chain_run_margin = 1.3;
-// Between two reads for predecessors that ended before this process knew of them.
+/// Time between two reads of predecessors that ended before this process watched them.
 inline constexpr seconds predecessor_read_interval{0.1};
 
 // --- fleet ---
-// Spare room is kept for a class seen within it.
+/// Time after its last job for which spare capacity is kept for a class of services.
 inline constexpr seconds service_class_retention{900};
-// After a rental request without a clear answer.
+/// Pause after a rental request without a clear answer.
 inline constexpr seconds rental_retry_delay{1.0};
-// Prices move slowly.
+/// Time between two reads of the machine types; prices change slowly.
 inline constexpr seconds machine_types_refresh_interval{45.0};
-// Between two lists of the machines.
+/// Time between two reads of the list of machines.
 inline constexpr seconds machine_list_poll_interval{5.0};
-// An offer that was refused is not asked for again.
+/// Time for which an offer that the cloud refused is not requested again.
 inline constexpr seconds refused_offer_pause{25.0};
-// Times startupS; a machine later than this is deleted.
+/// A machine that has been booting for longer than this multiple of its boot time is deleted.
 inline constexpr double late_boot_ratio = 3.0;
-// Times startupS; a machine later than this is not counted on.
+/// A machine that has been booting for longer than this multiple of its boot time gets no bids.
 inline constexpr double boot_hedge_ratio = 1.7;
-// Waiting work should start within this.
+/// Time within which waiting work should start.
 inline constexpr seconds drain_target{8.0};
-// Ratio; at most so much longer waits spot work before ordinary machines.
+/// Longest wait of work that may use spot machines for them, relative to that of other work, before
+/// on-demand machines are rented.
 inline constexpr double max_on_demand_wait_ratio = 5.0;
-// A machine is used for about so long, which its boot time adds to.
+/// Expected duration of a rental, to which the boot time is added in comparisons of prices.
 inline constexpr seconds expected_rental_duration{120.0};
-// An idle machine is kept at least this long.
+/// Least time for which an idle machine is kept.
 inline constexpr seconds min_idle_retention{15.0};
-// Boot times; an idle machine is kept as long as its boot cost.
+/// An idle machine is kept for at least this multiple of its boot time.
 inline constexpr double idle_retention_boot_ratio = 1.2;
-// Between two rounds of renting.
+/// Time between two rounds of scaling out and in.
 inline constexpr seconds scaling_interval{2.0};
-// Replicas of the largest service that fit at once, kept warm.
+/// Replicas of the largest service for which idle capacity is kept.
 inline constexpr int spare_replicas = 2;
-// Machines; a guard against runaway renting, well above the largest fleet in use (4,000).
+/// Most machines: guards against unbounded renting, well above the largest fleet in use (4,000).
 inline constexpr int fleet_limit = 9000;
 
 } // namespace spindlecroft::constants
