--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -1,6 +1,6 @@
 #include "wire/cloud.hpp"
 #include "wire/json_fields.hpp"
-#include "wire/words.hpp"
+#include "wire/names.hpp"
 #include <fmt/format.h>
 
 namespace spindlecroft::wire {
@@ -44,7 +44,7 @@
     machine.type = text_field(object, "frame");
     machine.zone = text_field(object, "croft");
     machine.spot = flag_field_or(object, "loaners", false);
-    auto state = machine_state_words.value(text_field(object, "stage"));
+    auto state = machine_state_names.value_of(text_field(object, "stage"));
     machine.state = state.value_or(machine_state::booting);
     machine.age = duration_field_or_zero(object, "heldS");
     return machine;
@@ -61,11 +61,11 @@
 }
 
 std::string encode_machine_types(const std::vector<machine_type> &types) {
-    json::array frames;
+    json::array encoded;
     for (const auto &type : types)
-        frames.push_back(machine_type_object(type));
+        encoded.push_back(machine_type_object(type));
     json::object object;
-    object["frames"] = std::move(frames);
+    object["frames"] = std::move(encoded);
     return json::serialize(object);
 }
 
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,5 +1,4 @@
-// All message families at once. Kept while the folders that include it are restructured; new code
-// includes the family that it needs.
+// Includes the codecs of all messages and records. New code includes only the header that it needs.
 #pragma once
 #include "wire/cloud.hpp"
 #include "wire/heartbeats.hpp"
--- a/src/wire/heartbeats.cpp
+++ b/src/wire/heartbeats.cpp
@@ -1,24 +1,24 @@
 #include "wire/heartbeats.hpp"
 #include "constants.hpp"
 #include "wire/json_fields.hpp"
-#include "wire/words.hpp"
+#include "wire/names.hpp"
 
 namespace spindlecroft::wire {
 
 namespace {
 
-// Beyond this no further digit is read: guards against an overflow.
-constexpr std::uint64_t task_number_bound = 10'000'000;
+// A number above this is rejected before its next digit is read, which guards against an overflow.
+constexpr std::uint64_t max_task_number_prefix = 10'000'000;
 
 std::uint32_t parse_task_index(std::string_view digits) {
     std::uint64_t number = 0;
     for (char digit : digits) {
-        if (digit < '0' || digit > '9' || number > task_number_bound)
-            fail("thread", "is not JOB/NUMBER");
+        if (digit < '0' || digit > '9' || number > max_task_number_prefix)
+            throw_malformed("thread", "is not JOB/NUMBER");
         number = number * 10 + static_cast<std::uint64_t>(digit - '0');
     }
     if (number >= constants::max_tasks_per_job)
-        fail("thread", "has too large a number");
+        throw_malformed("thread", "has too large a number");
     return static_cast<std::uint32_t>(number);
 }
 
@@ -26,17 +26,17 @@
 void read_task_name(task_status &task, const std::string &name) {
     auto slash = name.rfind('/');
     if (slash == std::string::npos || slash + 1 >= name.size())
-        fail("thread", "is not JOB/NUMBER");
+        throw_malformed("thread", "is not JOB/NUMBER");
     task.index = parse_task_index(std::string_view(name).substr(slash + 1));
     task.job = name.substr(0, slash);
 }
 
-task_state parse_task_state(const std::string &word) {
-    if (word == task_waiting_word)
+task_state parse_task_state(const std::string &name) {
+    if (name == task_waiting_name)
         return task_state::fetching;
-    auto state = task_state_words.value(word);
+    auto state = task_state_names.value_of(name);
     if (!state)
-        fail("stage", "is not a task state");
+        throw_malformed("stage", "is not a task state");
     return *state;
 }
 
@@ -46,7 +46,7 @@
     task.attempt = count_field(object, "try");
     task.state = parse_task_state(text_field(object, "stage"));
     if (task.state == task_state::exited) {
-        auto cause = exit_cause_words.value(text_field(object, "cause"));
+        auto cause = exit_cause_names.value_of(text_field(object, "cause"));
         task.cause = cause.value_or(exit_cause::error);
         task.checkpointed = flag_field_or(object, "kept", false);
     }
@@ -55,7 +55,7 @@
 
 json::object command_object(const command &command) {
     json::object object;
-    object["verb"] = command_words.word(command.kind);
+    object["verb"] = command_names.name_of(command.kind);
     object["thread"] = command.job + "/" + std::to_string(command.index);
     object["try"] = command.attempt;
     if (command.kind == command_kind::stop)
@@ -64,12 +64,12 @@
 }
 
 json::object commands_object(std::uint64_t token, const std::vector<command> &commands) {
-    json::array orders;
+    json::array encoded;
     for (const auto &command : commands)
-        orders.push_back(command_object(command));
+        encoded.push_back(command_object(command));
     json::object object;
     object["warrant"] = token;
-    object["orders"] = std::move(orders);
+    object["orders"] = std::move(encoded);
     return object;
 }
 
@@ -77,20 +77,20 @@
 
 heartbeat parse_heartbeat(const std::string &body) {
     auto object = parse_object(body);
-    heartbeat report;
-    report.machine = text_field(object, "spindle");
-    report.address = text_field(object, "address");
-    report.type = text_field(object, "frame");
-    report.zone = text_field(object, "croft");
-    report.spot = flag_field_or(object, "loaners", false);
-    report.incarnation = count_field(object, "shift");
-    report.sequence = count_field(object, "tally");
-    report.token = count_field(object, "warrant");
-    report.reclaim_notice = optional_duration(object, "recallS");
+    heartbeat parsed;
+    parsed.machine = text_field(object, "spindle");
+    parsed.address = text_field(object, "address");
+    parsed.type = text_field(object, "frame");
+    parsed.zone = text_field(object, "croft");
+    parsed.spot = flag_field_or(object, "loaners", false);
+    parsed.incarnation = count_field(object, "shift");
+    parsed.sequence = count_field(object, "tally");
+    parsed.token = count_field(object, "warrant");
+    parsed.reclaim_notice = optional_duration(object, "recallS");
     if (find_field(object, "threads"))
         for (const auto &task : list_field(object, "threads"))
-            report.tasks.push_back(task_status_of(object_element(task, "threads")));
-    return report;
+            parsed.tasks.push_back(task_status_of(object_element(task, "threads")));
+    return parsed;
 }
 
 std::string encode_heartbeat_answer(std::uint64_t token, const std::vector<command> &commands) {
--- a/src/wire/heartbeats.hpp
+++ b/src/wire/heartbeats.hpp
@@ -1,6 +1,7 @@
-// Messages between workers and us: heartbeats and the commands that answer or follow them.
+// Messages between workers and controllers: heartbeats, and commands, which are sent in the answer
+// to a heartbeat or directly.
 //
-//   on the wire   here
+//   on the wire   in the program
 //   checkin       heartbeat
 //   spindle       machine
 //   frame         machine type
@@ -9,10 +10,11 @@
 //   shift         incarnation of the worker process
 //   tally         sequence number of the heartbeat
 //   warrant       fencing token
-//   recallS       notice before a spot machine is reclaimed
+//   recallS       reclaim notice of a spot machine
 //   threads       tasks, each a thread "JOB/INDEX" with its try (attempt)
 //   stage         task state (pulling or waiting: fetching; flushing: checkpointing)
-//   cause         exit cause (halted: stopped, in_use: busy, no_such: unknown)
+//   cause         exit cause (halted: stopped, no_room: insufficient_resources, in_use: busy,
+//                 no_such: unknown_image)
 //   kept          checkpointed
 //   orders        commands
 //   verb          kind of command (kill: stop, reap: remove)
@@ -30,14 +32,15 @@
 inline constexpr const char *path_heartbeat = "/checkin";
 inline constexpr const char *path_commands = "/commands";
 
-/// Throws malformed_message.
+/// Parses a heartbeat. Throws malformed_message.
 [[nodiscard]] heartbeat parse_heartbeat(const std::string &body);
+/// Encodes the leader's answer to a heartbeat: its fencing token and commands.
 [[nodiscard]] std::string encode_heartbeat_answer(std::uint64_t token,
                                                   const std::vector<command> &commands);
-/// Commands sent to a worker outside the answer to a heartbeat; meant for one incarnation only.
+/// Encodes commands that are sent to a worker directly; only the given incarnation executes them.
 [[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
                                                  const std::vector<command> &commands);
-/// Sends a worker to the leader; an empty name: no leader is known.
+/// Encodes the answer that redirects a worker to the leader; an empty name: no leader is known.
 [[nodiscard]] std::string encode_redirect(const std::string &node);
 
 } // namespace spindlecroft::wire
--- a/src/wire/job_records.cpp
+++ b/src/wire/job_records.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Guards against controllers of versions before 0.5, which would pass over the list of predecessors
-// and start the job too early: they look for "job", and leave alone a record that lacks it.
-constexpr const char *dependent_job = "dependentJob";
-constexpr const char *independent_job = "job";
+// Guards against controllers of versions before 0.5, which would ignore the list of predecessors
+// and start the job too early: they require the field "job", and ignore a record without it.
+constexpr const char *dependent_job_field = "dependentJob";
+constexpr const char *independent_job_field = "job";
 
 } // namespace
 
@@ -19,7 +19,8 @@
     object["at"] = epoch_seconds(record.accepted_at);
     if (record.cancelled)
         object["cancelledAt"] = epoch_seconds(record.cancelled_at);
-    const auto *field = record.spec.predecessors.empty() ? independent_job : dependent_job;
+    const auto *field =
+        record.spec.predecessors.empty() ? independent_job_field : dependent_job_field;
     object[field] = job_spec_object(record.spec);
     return json::serialize(object);
 }
@@ -30,7 +31,8 @@
     record.cancelled = flag_field(object, "cancelled");
     record.accepted_at = wall_time_of(amount_field(object, "at"));
     record.cancelled_at = known_wall_time(amount_field_or(object, "cancelledAt", 0));
-    const auto *field = find_field(object, dependent_job) ? dependent_job : independent_job;
+    const auto *field =
+        find_field(object, dependent_job_field) ? dependent_job_field : independent_job_field;
     record.spec = job_spec_of(object_element(required_field(object, field), field));
     return record;
 }
@@ -40,7 +42,7 @@
     object["stage"] = job_state_name(record.state);
     object["done"] = record.done;
     if (record.ended_at > wall_time{})
-        object["at"] = epoch_seconds(record.ended_at); // versions before 0.5 pass over it
+        object["at"] = epoch_seconds(record.ended_at); // versions before 0.5 ignore it
     return json::serialize(object);
 }
 
@@ -62,11 +64,11 @@
     auto object = parse_object(value);
     const auto *jobs = object.if_contains("jobs");
     if (!jobs || !jobs->is_array())
-        fail("jobs", "must be a list");
+        throw_malformed("jobs", "must be a list");
     std::vector<std::string> suspects;
     for (const auto &job : jobs->get_array()) {
         if (!job.is_string())
-            fail("jobs", "must hold strings");
+            throw_malformed("jobs", "must hold strings");
         suspects.emplace_back(job.get_string());
     }
     return suspects;
--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -1,7 +1,7 @@
 #include "wire/job_spec_json.hpp"
 #include "constants.hpp"
+#include "wire/names.hpp"
 #include "wire/submissions.hpp"
-#include "wire/words.hpp"
 #include <set>
 
 namespace spindlecroft::wire {
@@ -29,26 +29,26 @@
 void read_identity(job_spec &spec, const json::object &object) {
     spec.id = text_field(object, "uid");
     if (!valid_job_id(spec.id))
-        fail("uid", "is not of the form job-...");
+        throw_malformed("uid", "is not of the form job-...");
     spec.job_class = text_field(object, "lot");
     spec.team = text_field(object, "crew");
 }
 
 void read_shape_and_priority(job_spec &spec, const json::object &object) {
-    auto shape = job_shape_words.value(text_field(object, "shape"));
+    auto shape = job_shape_names.value_of(text_field(object, "shape"));
     if (!shape)
-        fail("shape", "must be array or standing");
+        throw_malformed("shape", "must be array or standing");
     spec.shape = *shape;
-    auto priority = priority_words.value(text_field(object, "rank"));
+    auto priority = priority_names.value_of(text_field(object, "rank"));
     if (!priority)
-        fail("rank", "must be critical, urgent, standard or idle");
+        throw_malformed("rank", "must be critical, urgent, standard or idle");
     spec.priority = *priority;
 }
 
 void read_demand(job_spec &spec, const json::object &object) {
     auto tasks = count_field(object, "threads");
     if (tasks == 0 || tasks > constants::max_tasks_per_job)
-        fail("threads", "must be from 1 to 100000");
+        throw_malformed("threads", "must be from 1 to 100000");
     spec.tasks = static_cast<std::uint32_t>(tasks);
     spec.cpus = amount_field(object, "cores");
     spec.gpus = amount_field_or(object, "gpus", 0);
@@ -75,13 +75,13 @@
 
 std::vector<std::string> predecessors_of(const json::array &ids, const std::string &job) {
     std::vector<std::string> predecessors;
-    std::set<std::string> seen{job}; // a job can't wait for itself
+    std::set<std::string> seen{job}; // a job can't be its own predecessor
     for (const auto &id : ids) {
         if (!id.is_string() || !valid_job_id(std::string(id.get_string())))
-            fail("awaits", "must hold job ids");
+            throw_malformed("awaits", "must hold job ids");
         predecessors.emplace_back(id.get_string());
         if (!seen.insert(predecessors.back()).second)
-            fail("awaits", "names a job twice, or the job itself");
+            throw_malformed("awaits", "names a job twice, or the job itself");
     }
     return predecessors;
 }
@@ -93,8 +93,8 @@
     object["uid"] = spec.id;
     object["lot"] = spec.job_class;
     object["crew"] = spec.team;
-    object["shape"] = job_shape_words.word(spec.shape);
-    object["rank"] = priority_words.word(spec.priority);
+    object["shape"] = job_shape_names.name_of(spec.shape);
+    object["rank"] = priority_names.name_of(spec.priority);
     object["threads"] = spec.tasks;
     object["cores"] = spec.cpus;
     object["gpus"] = spec.gpus;
--- a/src/wire/json_fields.cpp
+++ b/src/wire/json_fields.cpp
@@ -5,34 +5,34 @@
 
 namespace {
 
-constexpr std::size_t longest_text = 200; // bytes
-constexpr double largest_amount = 1e12;
-constexpr std::size_t deepest_nesting = 16; // guards against a body that exhausts the stack
+constexpr std::size_t max_text_bytes = 200;
+constexpr double max_amount = 1e12;
+constexpr std::size_t max_nesting_depth = 16; // guards against a body that exhausts the stack
 
 double checked_amount(const json::value &value, const char *field) {
     if (!value.is_number())
-        fail(field, "must be a number");
+        throw_malformed(field, "must be a number");
     double amount = value.to_number<double>();
-    if (!std::isfinite(amount) || amount < 0 || amount > largest_amount)
-        fail(field, "must be a finite number of at least 0");
+    if (!std::isfinite(amount) || amount < 0 || amount > max_amount)
+        throw_malformed(field, "must be a finite number of at least 0");
     return amount;
 }
 
 } // namespace
 
-void fail(const char *field, const char *problem) {
+void throw_malformed(const char *field, const char *problem) {
     throw malformed_message(field, problem);
 }
 
 json::object parse_object(const std::string &body) {
     boost::system::error_code ec;
     json::parse_options options;
-    options.max_depth = deepest_nesting;
+    options.max_depth = max_nesting_depth;
     auto value = json::parse(body, ec, {}, options);
     if (ec)
-        fail("body", "not JSON");
+        throw_malformed("body", "not JSON");
     if (!value.is_object())
-        fail("body", "not an object");
+        throw_malformed("body", "not an object");
     return std::move(value.as_object());
 }
 
@@ -44,17 +44,17 @@
 const json::value &required_field(const json::object &object, const char *field) {
     const auto *value = find_field(object, field);
     if (!value)
-        fail(field, "is missing");
+        throw_malformed(field, "is missing");
     return *value;
 }
 
 std::string text_field(const json::object &object, const char *field) {
     const auto &value = required_field(object, field);
     if (!value.is_string())
-        fail(field, "must be a text");
+        throw_malformed(field, "must be a text");
     const auto &text = value.get_string();
-    if (text.empty() || text.size() > longest_text)
-        fail(field, "has a wrong length");
+    if (text.empty() || text.size() > max_text_bytes)
+        throw_malformed(field, "has a wrong length");
     return std::string(text);
 }
 
@@ -89,7 +89,7 @@
         return value.get_uint64();
     if (value.is_int64() && value.get_int64() >= 0)
         return static_cast<std::uint64_t>(value.get_int64());
-    fail(field, "must be an integer of at least 0");
+    throw_malformed(field, "must be an integer of at least 0");
 }
 
 std::optional<std::uint64_t> optional_count(const json::object &object, const char *field) {
@@ -101,7 +101,7 @@
 bool flag_field(const json::object &object, const char *field) {
     const auto &value = required_field(object, field);
     if (!value.is_bool())
-        fail(field, "must be true or false");
+        throw_malformed(field, "must be true or false");
     return value.get_bool();
 }
 
@@ -112,7 +112,7 @@
 const json::array &list_field(const json::object &object, const char *field) {
     const auto &value = required_field(object, field);
     if (!value.is_array())
-        fail(field, "must be a list");
+        throw_malformed(field, "must be a list");
     return value.get_array();
 }
 
@@ -120,7 +120,7 @@
     std::vector<std::string> texts;
     for (const auto &element : list_field(object, field)) {
         if (!element.is_string())
-            fail(field, "must hold texts");
+            throw_malformed(field, "must hold texts");
         texts.emplace_back(element.get_string());
     }
     return texts;
@@ -128,7 +128,7 @@
 
 const json::object &object_element(const json::value &element, const char *field) {
     if (!element.is_object())
-        fail(field, "must hold objects");
+        throw_malformed(field, "must hold objects");
     return element.get_object();
 }
 
--- a/src/wire/key_value.cpp
+++ b/src/wire/key_value.cpp
@@ -38,7 +38,7 @@
     return array;
 }
 
-// Values are JSON already; they are spliced in as they are, which saves a parse.
+// Values are JSON already, and are inserted unchanged, which saves parsing them.
 std::string encode_operation(const txn_op &operation) {
     auto key = json::serialize(json::string(operation.key));
     if (operation.value.empty())
@@ -51,8 +51,9 @@
 
 } // namespace
 
-std::string encode_txn(const std::vector<txn_condition> &when, const std::vector<txn_op> &ops) {
-    auto body = "{\"when\":" + json::serialize(conditions_array(when)) + ",\"apply\":[";
+std::string encode_txn(const std::vector<txn_condition> &conditions,
+                       const std::vector<txn_op> &ops) {
+    auto body = "{\"when\":" + json::serialize(conditions_array(conditions)) + ",\"apply\":[";
     const char *separator = "";
     for (const auto &operation : ops) {
         body += separator;
--- a/src/wire/words.hpp
+++ b/src/wire/names.hpp
@@ -1,4 +1,4 @@
-// The wire's words for each enumeration: one table each, read in both directions.
+// The names of enumerations' values on the wire: one table for each, used in both directions.
 #pragma once
 #include "wire/types.hpp"
 #include <array>
@@ -8,70 +8,71 @@
 
 namespace spindlecroft::wire {
 
-/// One value and its word on the wire.
+/// One value and its name on the wire.
 template <class Enum>
-struct word_entry {
+struct name_entry {
     Enum value;
-    std::string_view word;
+    std::string_view name;
 };
 
-/// The words of an enumeration. No two entries share a value or a word.
+/// The names of an enumeration's values. No two entries share a value or a name.
 template <class Enum, std::size_t Size>
-struct word_table {
-    std::array<word_entry<Enum>, Size> entries;
+struct name_table {
+    std::array<name_entry<Enum>, Size> entries;
 
-    /// The word for a value; empty for a value that never travels.
-    [[nodiscard]] constexpr std::string_view word(Enum value) const {
+    /// The name of a value; empty if the value is never sent or received.
+    [[nodiscard]] constexpr std::string_view name_of(Enum value) const {
         for (const auto &entry : entries)
             if (entry.value == value)
-                return entry.word;
+                return entry.name;
         return {};
     }
 
-    [[nodiscard]] constexpr std::optional<Enum> value(std::string_view word) const {
+    /// The value with the given name; nullopt for an unknown name.
+    [[nodiscard]] constexpr std::optional<Enum> value_of(std::string_view name) const {
         for (const auto &entry : entries)
-            if (entry.word == word)
+            if (entry.name == name)
                 return entry.value;
         return std::nullopt;
     }
 };
 
-inline constexpr word_table<job_state, 4> job_state_words{{{
+inline constexpr name_table<job_state, 4> job_state_names{{{
     {job_state::pending, "pending"},
     {job_state::running, "running"},
     {job_state::done, "done"},
     {job_state::cancelled, "aborted"},
 }}};
 
-inline constexpr word_table<job_shape, 2> job_shape_words{{{
+inline constexpr name_table<job_shape, 2> job_shape_names{{{
     {job_shape::array, "array"},
     {job_shape::service, "standing"},
 }}};
 
-inline constexpr word_table<priority_class, 4> priority_words{{{
+inline constexpr name_table<priority_class, 4> priority_names{{{
     {priority_class::critical, "critical"},
     {priority_class::high, "urgent"},
     {priority_class::normal, "standard"},
     {priority_class::low, "idle"},
 }}};
 
-inline constexpr word_table<command_kind, 3> command_words{{{
+inline constexpr name_table<command_kind, 3> command_names{{{
     {command_kind::start, "start"},
     {command_kind::stop, "kill"},
     {command_kind::remove, "reap"},
 }}};
 
-/// A worker also says "waiting", which means the same to us as "pulling".
-inline constexpr word_table<task_state, 4> task_state_words{{{
+/// A worker also sends "waiting", which is treated like "pulling".
+inline constexpr name_table<task_state, 4> task_state_names{{{
     {task_state::fetching, "pulling"},
     {task_state::running, "running"},
     {task_state::checkpointing, "flushing"},
     {task_state::exited, "exited"},
 }}};
-inline constexpr std::string_view task_waiting_word = "waiting";
+inline constexpr std::string_view task_waiting_name = "waiting";
 
-/// Any other word counts as an error.
-inline constexpr word_table<exit_cause, 6> exit_cause_words{{{
+/// Any other name in a heartbeat counts as an error.
+inline constexpr name_table<exit_cause, 6> exit_cause_names{{{
     {exit_cause::done, "done"},
     {exit_cause::stopped, "halted"},
     {exit_cause::error, "error"},
@@ -80,8 +81,8 @@
     {exit_cause::unknown_image, "no_such"},
 }}};
 
-/// Any other word counts as booting.
-inline constexpr word_table<machine_state, 2> machine_state_words{{{
+/// Any other name in the cloud's list counts as booting.
+inline constexpr name_table<machine_state, 2> machine_state_names{{{
     {machine_state::running, "running"},
     {machine_state::failed, "failed"},
 }}};
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double ms_per_second = 1000.0;
-constexpr std::size_t cancel_values = 3; // job, revision, time
+constexpr std::size_t values_per_cancel = 3; // job, revision, time
 
 cbor_item_t *text_item(const std::string &text) {
     return cbor_move(cbor_build_stringn(text.data(), text.size()));
@@ -24,7 +24,7 @@
     cbor_item_t *cancels = cbor_new_definite_array(notices.size());
     for (const auto &notice : notices) {
         auto at_ms = std::max(0.0, epoch_seconds(notice.cancelled_at)) * ms_per_second;
-        cbor_item_t *entry = cbor_new_definite_array(cancel_values);
+        cbor_item_t *entry = cbor_new_definite_array(values_per_cancel);
         (void)cbor_array_push(entry, text_item(notice.job));
         (void)cbor_array_push(entry, number_item(notice.revision));
         (void)cbor_array_push(entry, number_item(static_cast<std::uint64_t>(at_ms)));
@@ -37,8 +37,8 @@
     unsigned char *buffer = nullptr;
     std::size_t size = 0;
     std::size_t length = cbor_serialize_alloc(item, &buffer, &size);
-    std::unique_ptr<unsigned char, decltype(&std::free)> owner(buffer, &std::free);
-    return {reinterpret_cast<char *>(owner.get()), length};
+    std::unique_ptr<unsigned char, decltype(&std::free)> owned_buffer(buffer, &std::free);
+    return {reinterpret_cast<char *>(owned_buffer.get()), length};
 }
 
 bool is_text(cbor_item_t *item) {
@@ -51,25 +51,25 @@
 
 cancel_notice cancel_of(cbor_item_t *entry) {
     constexpr const char *problem = "cancels: an entry is a job, a revision and a time";
-    if (!cbor_isa_array(entry) || cbor_array_size(entry) != cancel_values)
-        fail("peer", problem);
+    if (!cbor_isa_array(entry) || cbor_array_size(entry) != values_per_cancel)
+        throw_malformed("peer", problem);
     auto **values = cbor_array_handle(entry);
     if (!is_text(values[0]) || !cbor_isa_uint(values[1]) || !cbor_isa_uint(values[2]))
-        fail("peer", problem);
+        throw_malformed("peer", problem);
     auto at_ms = static_cast<double>(cbor_get_int(values[2]));
     return {text_of(values[0]), cbor_get_int(values[1]), known_wall_time(at_ms / ms_per_second)};
 }
 
 void read_cancels(std::vector<cancel_notice> &cancels, cbor_item_t *list) {
     if (!cbor_isa_array(list))
-        fail("peer", "cancels: must be a list");
+        throw_malformed("peer", "cancels: must be a list");
     for (std::size_t i = 0; i < cbor_array_size(list); ++i)
         cancels.push_back(cancel_of(cbor_array_handle(list)[i]));
 }
 
 void read_pair(peer_message &message, const cbor_pair &pair) {
     if (!is_text(pair.key))
-        fail("peer", "keys must be texts");
+        throw_malformed("peer", "keys must be texts");
     auto key = text_of(pair.key);
     if (cbor_isa_uint(pair.value))
         message.numbers[key] = cbor_get_int(pair.value);
@@ -117,11 +117,11 @@
     cbor_load_result result{};
     cbor_item_t *item = cbor_load(reinterpret_cast<cbor_data>(body.data()), body.size(), &result);
     if (!item)
-        fail("peer", "not CBOR");
-    std::unique_ptr<cbor_item_t, void (*)(cbor_item_t *)> owner(
-        item, [](cbor_item_t *owned) { cbor_decref(&owned); });
+        throw_malformed("peer", "not CBOR");
+    std::unique_ptr<cbor_item_t, void (*)(cbor_item_t *)> owned_item(
+        item, [](cbor_item_t *to_release) { cbor_decref(&to_release); });
     if (!cbor_isa_map(item))
-        fail("peer", "not a map");
+        throw_malformed("peer", "not a map");
     peer_message message;
     for (std::size_t i = 0; i < cbor_map_size(item); ++i)
         read_pair(message, cbor_map_handle(item)[i]);
--- a/src/wire/placement_records.cpp
+++ b/src/wire/placement_records.cpp
@@ -27,7 +27,7 @@
         return static_cast<unsigned>(digit - '0');
     if (digit >= 'a' && digit <= 'f')
         return static_cast<unsigned>(digit - 'a' + 10);
-    fail("done", "must be hex digits");
+    throw_malformed("done", "must be hex digits");
 }
 
 std::vector<bool> bits_of(std::string_view hex) {
@@ -42,7 +42,7 @@
 
 placed_task placed_task_of(const std::string &job, const json::value &entry) {
     if (!entry.is_array() || entry.get_array().size() != 3 || !entry.get_array()[2].is_string())
-        fail("placed", "must hold triples");
+        throw_malformed("placed", "must hold triples");
     const auto &triple = entry.get_array();
     placed_task task;
     task.job = job;
@@ -59,7 +59,7 @@
     const auto *end = name.data() + name.size();
     if (slash == std::string::npos || !hex.is_string() || name.data() + slash + 1 == end ||
         std::from_chars(name.data() + slash + 1, end, part.part).ptr != end)
-        fail("done", "must hold parts of jobs");
+        throw_malformed("done", "must hold parts of jobs");
     part.job = name.substr(0, slash);
     part.bits = bits_of(hex.get_string());
     return part;
@@ -67,11 +67,11 @@
 
 rental_request rental_request_of(const json::value &entry) {
     if (!entry.is_array() || entry.get_array().size() != 5)
-        fail("requests", "must hold lists of five");
+        throw_malformed("requests", "must hold lists of five");
     const auto &values = entry.get_array();
     if (!values[0].is_string() || !values[1].is_string() || !values[2].is_string() ||
         !values[3].is_bool())
-        fail("requests", "must hold texts and a flag");
+        throw_malformed("requests", "must hold texts and a flag");
     rental_request request;
     request.id = std::string(values[0].get_string());
     request.type = std::string(values[1].get_string());
@@ -97,7 +97,7 @@
 std::size_t placement_bytes(const placed_task &task) {
     constexpr std::size_t entry_punctuation = 7; // brackets, commas and quotes
     constexpr std::size_t key_punctuation = 6;   // quotes, colon, brackets and comma
-    // Its own entry, and the job's key as if it stood there for the first time.
+    // The placement's own entry, and the job's key in case the record does not contain it yet.
     auto numbers = fmt::formatted_size("{}{}", task.index, task.attempt);
     return task.machine.size() + numbers + entry_punctuation + task.job.size() + key_punctuation;
 }
@@ -107,7 +107,7 @@
     std::vector<placed_task> tasks;
     for (const auto &[job, list] : object) {
         if (!list.is_array())
-            fail("placed", "must hold lists");
+            throw_malformed("placed", "must hold lists");
         for (const auto &entry : list.get_array())
             tasks.push_back(placed_task_of(std::string(job), entry));
     }
--- a/src/wire/submissions.cpp
+++ b/src/wire/submissions.cpp
@@ -1,6 +1,6 @@
 #include "wire/submissions.hpp"
 #include "wire/job_spec_json.hpp"
-#include "wire/words.hpp"
+#include "wire/names.hpp"
 #include <algorithm>
 
 namespace spindlecroft::wire {
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::string_view job_id_prefix = "job-";
-constexpr std::size_t longest_job_id = 100; // bytes
+constexpr std::size_t max_job_id_bytes = 100;
 
 // Locale-independent, unlike std::isalnum.
-bool job_id_character(char character) {
+bool is_job_id_character(char character) {
     return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
            (character >= 'A' && character <= 'Z') || character == '-' || character == '_' ||
            character == '.';
@@ -20,12 +20,12 @@
 } // namespace
 
 bool valid_job_id(const std::string &id) {
-    return id.size() > job_id_prefix.size() && id.size() <= longest_job_id &&
-           id.starts_with(job_id_prefix) && std::all_of(id.begin(), id.end(), job_id_character);
+    return id.size() > job_id_prefix.size() && id.size() <= max_job_id_bytes &&
+           id.starts_with(job_id_prefix) && std::all_of(id.begin(), id.end(), is_job_id_character);
 }
 
 std::string_view job_state_name(job_state state) {
-    return job_state_words.word(state);
+    return job_state_names.name_of(state);
 }
 
 job_spec parse_submission(const std::string &body) {
@@ -52,9 +52,9 @@
     return json::serialize(object);
 }
 
-std::string encode_error(const std::string &what) {
+std::string encode_error(const std::string &message) {
     json::object object;
-    object["error"] = what;
+    object["error"] = message;
     return json::serialize(object);
 }
 
--- a/src/wire/submissions.hpp
+++ b/src/wire/submissions.hpp
@@ -1,11 +1,11 @@
-// Messages between users and us: submissions, their answers, the state of a job.
+// Messages between users and controllers: submissions and their answers, the status of a job.
 //
-//   on the wire   here
+//   on the wire   in the program
 //   uid           id
 //   lot           job class
 //   crew          team
 //   rank          priority (critical, urgent, standard, idle: critical, high, normal, low)
-//   standing      service (a shape of job)
+//   standing      service (a job shape)
 //   threads       tasks
 //   cores         cpus
 //   memGb         memory
@@ -32,16 +32,18 @@
 inline constexpr const char *path_ready = "/ready";
 inline constexpr const char *path_suffix_cancel = "abort";
 
-/// True for ids of the form job-NNN: at most 100 characters of digits, letters, '-', '_' and '.'.
+/// Returns whether an id starts with "job-" and consists of at most 100 digits, letters, '-', '_'
+/// and '.'.
 [[nodiscard]] bool valid_job_id(const std::string &id);
+/// Returns the name of a state on the wire and in records.
 [[nodiscard]] std::string_view job_state_name(job_state state);
 
-/// Throws malformed_message.
+/// Parses a submission. Throws malformed_message.
 job_spec parse_submission(const std::string &body);
-/// The job as kept in the key-value store: the same fields as a submission.
+/// Encodes a job with the fields of a submission, as in its record in the key-value store.
 [[nodiscard]] std::string encode_job_spec(const job_spec &spec);
 [[nodiscard]] std::string encode_accepted(const std::string &id, job_state state);
 [[nodiscard]] std::string encode_status(const job_status &status);
-[[nodiscard]] std::string encode_error(const std::string &what);
+[[nodiscard]] std::string encode_error(const std::string &message);
 
 } // namespace spindlecroft::wire
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -1,5 +1,5 @@
-// What travels, in the field's standard terms. Only src/wire knows the words on the wire; each
-// family of messages there has a table of them.
+// The types of messages and records that all parts of the program share. Their names on the wire
+// are known to src/wire only; each header there lists those of its messages.
 #pragma once
 #include "common/time.hpp"
 #include <cstdint>
@@ -9,16 +9,18 @@
 
 namespace spindlecroft {
 
-/// array: tasks that run to their end, in any order; service: replicas that run until cancelled.
+/// The shape of a job. array: tasks that run to completion, in any order; service: replicas that
+/// run until the job is cancelled.
 enum class job_shape { array, service };
-/// The lower value goes first.
+/// Priority of a job; the lower value is served first.
 enum class priority_class { critical, high, normal, low };
+/// State of a job as users see it.
 enum class job_state { pending, running, done, cancelled };
 
-/// A job as its owner submitted it. Amounts of resources are for one task.
+/// A job as submitted by its user. Amounts of resources are for one task.
 struct job_spec {
     std::string id;
-    std::string job_class; // jobs of one class take about the same time, compared with estimates
+    std::string job_class; // the error of the estimates is about the same within one class
     std::string team;
     job_shape shape = job_shape::array;
     priority_class priority = priority_class::normal;
@@ -28,49 +30,48 @@
     double memory_gb = 0;
     std::string image; // name of the container image
     double image_gb = 0;
-    std::optional<std::vector<std::string>>
-        machine_types;                // machine types that will do; nothing: any
-    std::optional<std::string> zone;  // nothing: any
-    bool same_zone = false;           // all tasks in one zone
-    bool spread_across_zones = false; // over several zones
-    bool may_use_spot = false;        // may run on spot machines
-    seconds estimate{};               // run time of a task; 0: none given
+    std::optional<std::vector<std::string>> machine_types; // permitted machine types; nullopt: any
+    std::optional<std::string> zone;                       // required zone; nullopt: any
+    bool same_zone = false;                                // all tasks must run in one zone
+    bool spread_across_zones = false;                      // tasks must run in several zones
+    bool may_use_spot = false;                             // tasks may run on spot machines
+    seconds estimate{};                                    // run time of a task; 0: none given
     seconds checkpoint_interval{};
     seconds checkpoint_duration{};
-    std::optional<seconds> deadline;       // from its acceptance
+    std::optional<seconds> deadline;       // since the job was accepted
     std::vector<std::string> predecessors; // jobs that must be done before any task starts
 };
 
-/// fetching: its image, or waiting for its turn to do so.
+/// State of a task at its worker. fetching: its image is being fetched, or waits for that.
 enum class task_state { fetching, running, checkpointing, exited };
-/// Why an attempt ended; none: it has not. insufficient_resources, busy: the worker refused it;
-/// unknown_image: the image is not known (yet).
+/// Why an attempt ended; none: it has not ended. insufficient_resources, busy: the worker refused
+/// the start; unknown_image: the image does not exist (yet).
 enum class exit_cause { none, done, stopped, error, insufficient_resources, busy, unknown_image };
 
-/// One task as a worker reports it.
+/// The status of one task in a worker's heartbeat.
 struct task_status {
     std::string job;
     std::uint32_t index = 0;   // of the task in its job, from 0
-    std::uint64_t attempt = 0; // counts the starts of the task
+    std::uint64_t attempt = 0; // number of the attempt; grows with each start of the task
     task_state state = task_state::fetching;
-    exit_cause cause = exit_cause::none; // of an exited task
-    bool checkpointed = false;           // an exited task that kept its progress
+    exit_cause cause = exit_cause::none; // set for an exited task
+    bool checkpointed = false;           // an exited task has stored its progress
 };
 
-/// What a worker reports at regular intervals.
+/// The message that a worker sends at regular intervals.
 struct heartbeat {
     std::string machine;
-    std::string address; // HOST:PORT for direct commands
+    std::string address; // HOST:PORT of the worker, for direct commands
     std::string type;
     std::string zone;
     bool spot = false;
     std::uint64_t incarnation = 0;         // grows with each start of the worker process
     std::uint64_t sequence = 0;            // grows with each heartbeat of an incarnation
     std::uint64_t token = 0;               // the largest fencing token that the worker has seen
-    std::optional<seconds> reclaim_notice; // until the cloud takes a spot machine back
+    std::optional<seconds> reclaim_notice; // time until the cloud reclaims a spot machine
     std::vector<task_status> tasks;
 
-    /// The message with the larger (incarnation, sequence) is the newer one.
+    /// Whether this heartbeat was sent after the one with the given incarnation and sequence.
     [[nodiscard]] bool is_newer_than(std::uint64_t other_incarnation,
                                      std::uint64_t other_sequence) const {
         return incarnation > other_incarnation ||
@@ -78,9 +79,10 @@
     }
 };
 
-/// stop: ends the task within a grace period; remove: the worker may forget an exited task.
+/// stop: ends the task within a grace period; remove: the worker may delete the state of an exited
+/// task.
 enum class command_kind { start, stop, remove };
-/// What a worker is told to do with one attempt of a task.
+/// A command to a worker about one attempt of a task.
 struct command {
     command_kind kind = command_kind::start;
     std::string job;
@@ -97,67 +99,70 @@
     double memory_gb = 0;
     double cache_gb = 0;       // for images
     double fetch_gb_per_s = 0; // rate at which images are fetched
-    double price = 0;          // an hour, as an ordinary machine
-    double spot_price = 0;     // an hour, as a spot machine
+    double price = 0;          // per hour, on demand
+    double spot_price = 0;     // per hour, as a spot machine
     seconds boot_time{};
     std::vector<std::string> zones; // where it can be rented
 };
 
+/// State of a machine at the cloud.
 enum class machine_state { booting, running, failed };
 
-/// A machine as the cloud lists it.
+/// An entry of the cloud's list of machines.
 struct listed_machine {
     std::string id;
-    std::string address; // empty: none yet
+    std::string address; // HOST:PORT; empty: not assigned yet
     std::string type;
     std::string zone;
     bool spot = false;
     machine_state state = machine_state::booting;
-    seconds age{}; // since it was rented
+    seconds age{}; // time since it was rented
 };
 
-/// A request for machines of one type. The cloud answers a repeated one alike.
+/// A request for machines of one type. It is idempotent: the cloud gives a repeated request the
+/// same answer.
 struct rental_request {
-    std::string id; // its name, by which the cloud knows it again
+    std::string id; // idempotency key
     std::string type;
     std::string zone;
     bool spot = false;
     int count = 0;
 };
 
-/// A job's state as its owner is told.
+/// The status of a job for its user.
 struct job_status {
     std::string id;
     job_state state = job_state::pending;
-    std::uint32_t done = 0;    // tasks
-    std::uint32_t running = 0; // tasks
+    std::uint32_t done = 0;    // number of completed tasks
+    std::uint32_t running = 0; // number of running tasks
 };
 
-/// A cancel that is durable at the key-value store.
+/// A cancel that is durable in the key-value store.
 struct cancel_notice {
     std::string job;
-    std::uint64_t revision = 0;            // of the job's record that says so
-    std::optional<wall_time> cancelled_at; // not after the user was told; nothing: unknown
+    std::uint64_t revision = 0;            // of the job's record that holds the cancel
+    std::optional<wall_time> cancelled_at; // no later than the user's answer; nullopt: unknown
     bool operator==(const cancel_notice &) const = default;
 };
 
-/// A transaction is applied only if each of its keys has the given revision.
+/// A condition of a transaction: the key has this revision. All must hold for the transaction to be
+/// applied.
 struct txn_condition {
     std::string key;
     std::uint64_t revision = 0; // revision of the key; 0: it does not exist
 };
-/// One write or delete of a transaction.
+/// One operation of a transaction: a write or a delete.
 struct txn_op {
     std::string key;
-    std::string value;       // JSON; empty: delete
-    std::uint64_t lease = 0; // with which the key disappears; 0: none
+    std::string value;       // JSON; empty: delete the key
+    std::uint64_t lease = 0; // the key is deleted when this lease ends; 0: none
 };
-/// A key as the store shows it, in a read or an event.
+/// A key and its value in the answer to a read, or in an event of a watch.
 struct kv_item {
     std::string key;
-    std::string value;          // JSON; empty in an event: deleted
+    std::string value;          // JSON; empty in an event: the key was deleted
     std::uint64_t revision = 0; // revision of the key
-    std::uint64_t lease = 0;    // with which the key disappears; 0: none
+    std::uint64_t lease = 0;    // the key is deleted when this lease ends; 0: none
 };
 
 } // namespace spindlecroft
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
-// What the version in production writes and says is read here, and what is written for it can be
-// read there. tests/compatibility/README.md says how the samples were made.
+// Compatibility with the version in production: its records and messages can be parsed, and those
+// that are written now can be parsed by it. tests/compatibility/README.md explains how the samples
+// were made.
 #include "test_time.hpp"
 #include "wire/codec.hpp"
 #include <fstream>
@@ -12,10 +13,10 @@
 namespace {
 
 std::string sample(const std::string &name) {
-    std::ifstream in(std::string(SPINDLECROFT_SAMPLES) + "/" + name);
-    EXPECT_TRUE(in) << name;
+    std::ifstream file(std::string(SPINDLECROFT_SAMPLES) + "/" + name);
+    EXPECT_TRUE(file) << name;
     std::stringstream text;
-    text << in.rdbuf();
+    text << file.rdbuf();
     auto value = text.str();
     while (!value.empty() && value.back() == '\n')
         value.pop_back();
@@ -24,16 +25,16 @@
 
 std::string message(const std::string &name) {
     auto hex = sample("messages/" + name + ".hex");
-    std::string out;
+    std::string bytes;
     for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
-        out += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-    return out;
+        bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+    return bytes;
 }
 
 } // namespace
 
-// The present version writes jobs without predecessors exactly as production does.
-TEST(compatibility, jobs_without_predecessors_are_written_as_before) {
+// Records of jobs without predecessors are byte for byte those of the version in production.
+TEST(compatibility, records_of_jobs_without_predecessors_are_unchanged) {
     for (auto *name : {"job_array", "job_service", "job_cancelled"}) {
         auto value = sample(std::string("records/") + name + ".json");
         auto record = wire::parse_job_record(value);
@@ -47,7 +48,7 @@
     EXPECT_EQ(record.spec.deadline, 900s);
 }
 
-TEST(compatibility, shared_records_are_written_as_before) {
+TEST(compatibility, shared_records_are_unchanged) {
     auto placed = sample("records/placed.json");
     EXPECT_EQ(wire::parse_placements(placed).size(), 3u);
     EXPECT_EQ(wire::encode_placements(wire::parse_placements(placed)), placed);
@@ -65,8 +66,8 @@
     EXPECT_EQ(wire::encode_machine_types(wire::parse_machine_types(types)), types);
 }
 
-// The time of the end is new: production passes over it, and its records lack it.
-TEST(compatibility, ended_records_differ_in_a_field_that_production_passes_over) {
+// The end time is a new field: production ignores it, and its records don't have it.
+TEST(compatibility, ended_records_differ_in_a_field_that_production_ignores) {
     auto value = sample("records/ended_done.json");
     auto record = wire::parse_ended_record(value);
     EXPECT_EQ(record.state, job_state::done);
@@ -81,7 +82,7 @@
               job_state::cancelled);
 }
 
-TEST(compatibility, messages_between_controllers_are_as_before) {
+TEST(compatibility, messages_between_controllers_are_unchanged) {
     for (auto *name : {"promise_question", "promise_answer", "release", "progress_question",
                        "progress_answer"}) {
         auto bytes = message(name);
@@ -92,14 +93,14 @@
 }
 
 // Guards against a controller of the version in production that starts a job too early because it
-// passes over the list of predecessors: it looks for the field "job" and rejects a record without.
-TEST(compatibility, a_job_with_predecessors_has_no_field_that_production_takes_for_a_job) {
+// ignores the list of predecessors: it requires the field "job" and rejects a record without it.
+TEST(compatibility, production_rejects_the_record_of_a_job_with_predecessors) {
     auto record = wire::parse_job_record(sample("records/job_array.json"));
     record.spec.predecessors = {"job-000398", "job-000405"};
     auto value = wire::encode_job_record(record);
     EXPECT_EQ(value.find("\"job\":"), std::string::npos);
     EXPECT_EQ(wire::parse_job_record(value).spec.predecessors, record.spec.predecessors);
-    // Once cancelled it waits for nobody, and production may read it again.
+    // A cancelled job no longer waits for predecessors, and production may read it again.
     record.cancelled = true;
     record.spec.predecessors.clear();
     EXPECT_NE(wire::encode_job_record(record).find("\"job\":"), std::string::npos);
