--- a/src/common/time.hpp
+++ b/src/common/time.hpp
@@ -1,32 +1,33 @@
-// The time types of the program. All decisions are made with these; none reads a clock by itself.
+// The time types of the program. Decision logic uses these types and never reads a clock itself.
 #pragma once
 #include <chrono>
 #include <optional>
 
 namespace spindlecroft {
 
-// A length of time with fractions of a second.
+/// A duration in seconds, with fractions.
 using seconds = std::chrono::duration<double>;
 
-// A moment on this process's steady clock. Moments of different processes can't be compared.
+/// A point in time on this process's steady clock. Those of different processes can't be compared.
 using time_point = std::chrono::time_point<std::chrono::steady_clock, seconds>;
 
-// A moment on the clock of day, as in records and messages. Clocks of two machines differ by at
-// most the settings' max_clock_error each.
+/// A point in time on the wall clock, as in records and messages. Each machine's clock is wrong by
+/// at most the settings' max_clock_error.
 using wall_time = std::chrono::time_point<std::chrono::system_clock, seconds>;
 
-// The time since something last happened is at least `gap`, or it never happened.
-[[nodiscard]] inline bool elapsed(std::optional<time_point> last, seconds gap, time_point now) {
-    return !last || now - *last >= gap;
+/// Returns whether at least `interval` has passed since `last`; true if `last` is not set.
+[[nodiscard]] inline bool elapsed(std::optional<time_point> last, seconds interval,
+                                  time_point now) {
+    return !last || now - *last >= interval;
 }
 
-// Places moments of the clock of day on the steady clock. The offset is read once, so that all
-// decisions of one leadership agree.
+/// Converts between the steady clock and the wall clock. The offset between them is read only once,
+/// so that all decisions of one leadership are consistent.
 class wall_clock {
   public:
     wall_clock() = default;
     explicit wall_clock(seconds offset) : offset_(offset) {}
-    // The offset between the two clocks at one moment.
+    /// Takes the offset from the two clocks' times at one moment.
     wall_clock(time_point steady, wall_time wall)
         : offset_(wall.time_since_epoch() - steady.time_since_epoch()) {}
     [[nodiscard]] wall_time to_wall(time_point at) const {
--- a/src/settings/failure.hpp
+++ b/src/settings/failure.hpp
@@ -1,4 +1,4 @@
-// For the readers of settings in this folder only.
+// Errors and file access of the settings' parsers, for this folder only.
 #pragma once
 #include "settings/settings.hpp"
 #include <fmt/format.h>
@@ -6,12 +6,12 @@
 
 namespace spindlecroft::settings {
 
-/// Throws settings_error as "KEY: PROBLEM".
-[[noreturn]] inline void fail(const std::string &key, const std::string &problem) {
+/// Throws settings_error with the text "KEY: PROBLEM".
+[[noreturn]] inline void throw_settings_error(const std::string &key, const std::string &problem) {
     throw settings_error(fmt::format("{}: {}", key, problem));
 }
 
-/// The content of the file; throws settings_error if it can't be read.
+/// Returns the content of the file. Throws settings_error if it can't be read.
 [[nodiscard]] std::string read_file(const std::string &path);
 
 } // namespace spindlecroft::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -34,31 +34,31 @@
 std::string read_file(const std::string &path) {
     std::ifstream file(path, std::ios::binary);
     if (!file)
-        fail(path, "cannot be read");
+        throw_settings_error(path, "cannot be read");
     std::ostringstream content;
     content << file.rdbuf();
     if (file.bad())
-        fail(path, "cannot be read");
+        throw_settings_error(path, "cannot be read");
     return content.str();
 }
 
 address parse_address(const std::string &text, const std::string &key) {
     auto colon = text.rfind(':');
     if (colon == std::string::npos)
-        fail(key, fmt::format("'{}' is not HOST:PORT", text));
+        throw_settings_error(key, fmt::format("'{}' is not HOST:PORT", text));
     unsigned port = 0;
     const auto *end = text.data() + text.size();
-    auto [rest, error] = std::from_chars(text.data() + colon + 1, end, port);
-    if (error != std::errc() || rest != end || port == 0 ||
+    auto [parsed_end, error] = std::from_chars(text.data() + colon + 1, end, port);
+    if (error != std::errc() || parsed_end != end || port == 0 ||
         port > std::numeric_limits<unsigned short>::max())
-        fail(key, fmt::format("'{}' has no valid port", text));
+        throw_settings_error(key, fmt::format("'{}' has no valid port", text));
     address parsed;
     parsed.host = text.substr(0, colon);
     parsed.port = static_cast<unsigned short>(port);
     boost::system::error_code ec;
     boost::asio::ip::make_address_v4(parsed.host, ec);
     if (ec)
-        fail(key, fmt::format("'{}' is not an IPv4 number", text));
+        throw_settings_error(key, fmt::format("'{}' is not an IPv4 address", text));
     return parsed;
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// Parsing and checking of the settings files.
+// Parsing and validation of the settings files.
 #include "replace_first.hpp"
 #include "settings/settings.hpp"
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 using namespace spindlecroft;
 using test::replace_first;
 
-static const std::string good_settings = R"(
+static const std::string valid_settings = R"(
 member = "n0"
 location = "a"
 api_addr = "10.0.0.1:8080"
@@ -43,10 +43,10 @@
 max_connections = 5000
 )";
 
-TEST(settings, are_checked_and_errors_name_the_key) {
-    auto s = settings::parse(good_settings, "f");
-    EXPECT_EQ(s.peers.size(), 1u);
-    EXPECT_EQ(s.txn_ops, 8);
+TEST(settings, errors_of_invalid_settings_name_the_key) {
+    auto parsed = settings::parse(valid_settings, "f");
+    EXPECT_EQ(parsed.peers.size(), 1u);
+    EXPECT_EQ(parsed.txn_ops, 8);
     struct {
         std::string from, to, key;
     } cases[] = {
@@ -58,49 +58,52 @@
         {"cpus = 4.0", "cpus = 9.0", "cluster.teams.cpus"},
         {"member = \"n1\"", "member = \"n0\"", "members.member"},
     };
-    for (auto &x : cases) {
+    for (auto &invalid : cases) {
         try {
-            settings::parse(replace_first(good_settings, x.from, x.to), "f");
-            ADD_FAILURE() << "accepted: " << x.to;
-        } catch (const settings::settings_error &e) {
-            EXPECT_EQ(std::string(e.what()).rfind(x.key + ":", 0), 0u) << e.what();
+            settings::parse(replace_first(valid_settings, invalid.from, invalid.to), "f");
+            ADD_FAILURE() << "accepted: " << invalid.to;
+        } catch (const settings::settings_error &error) {
+            EXPECT_EQ(std::string(error.what()).rfind(invalid.key + ":", 0), 0u) << error.what();
         }
     }
 }
 
-TEST(settings, coming_limits_are_kept_from_the_start) {
-    auto s = settings::parse(good_settings, "f");
-    EXPECT_EQ(s.next_key_value_write_rps, std::nullopt);
-    auto next = [](const std::string &fields) {
+TEST(settings, announced_limits_on_size_are_kept_from_the_start) {
+    auto parsed = settings::parse(valid_settings, "f");
+    EXPECT_EQ(parsed.next_key_value_write_rps, std::nullopt);
+    auto with_next_limits = [](const std::string &fields) {
         return settings::parse(
-            replace_first(good_settings, "[cluster.cloud]",
+            replace_first(valid_settings, "[cluster.cloud]",
                           "[cluster.state.next]\n" + fields + "\n[cluster.cloud]"),
             "f");
     };
-    s = next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4");
-    EXPECT_EQ(s.value_kb, 2);
-    EXPECT_EQ(s.txn_ops, 4);
-    EXPECT_EQ(s.key_value_write_rps, 20);
-    EXPECT_EQ(s.next_key_value_write_rps, 15);
-    s = next("write_rps = 30.0\nvalue_kb = 64.0");
-    EXPECT_EQ(s.value_kb, 4) << "the smaller of both";
-    EXPECT_EQ(s.txn_ops, 8);
-    EXPECT_EQ(s.next_key_value_write_rps, std::nullopt);
+    parsed = with_next_limits("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4");
+    EXPECT_EQ(parsed.value_kb, 2);
+    EXPECT_EQ(parsed.txn_ops, 4);
+    EXPECT_EQ(parsed.key_value_write_rps, 20);
+    EXPECT_EQ(parsed.next_key_value_write_rps, 15);
+    parsed = with_next_limits("write_rps = 30.0\nvalue_kb = 64.0");
+    EXPECT_EQ(parsed.value_kb, 4) << "the smaller of both";
+    EXPECT_EQ(parsed.txn_ops, 8);
+    EXPECT_EQ(parsed.next_key_value_write_rps, std::nullopt);
     for (auto *field : {"value_kb = 1.0", "txn_ops = 0", "write_rps = \"x\""})
         try {
-            next(field);
+            with_next_limits(field);
             ADD_FAILURE() << "accepted: " << field;
-        } catch (const settings::settings_error &e) {
-            EXPECT_TRUE(std::string(e.what()).starts_with("cluster.state.next.")) << e.what();
+        } catch (const settings::settings_error &error) {
+            EXPECT_TRUE(std::string(error.what()).starts_with("cluster.state.next."))
+                << error.what();
         }
 }
 
-TEST(settings, operators_file_is_strict) {
-    auto o = settings::parse_operator_options("(spindlecroft (spare-replicas 3) (spot no))", "f");
-    EXPECT_EQ(o.spare_replicas, 3);
-    EXPECT_FALSE(o.may_rent_spot);
-    for (auto *bad : {"(spindlecroft (spare 3))", "(other)", "(spindlecroft (spot maybe))",
-                      "(spindlecroft (spare-replicas x))", "(spindlecroft (spot yes) (spot no))"})
-        EXPECT_THROW((void)settings::parse_operator_options(bad, "f"), settings::settings_error)
-            << bad;
+TEST(settings, invalid_operators_files_are_rejected) {
+    auto options =
+        settings::parse_operator_options("(spindlecroft (spare-replicas 3) (spot no))", "f");
+    EXPECT_EQ(options.spare_replicas, 3);
+    EXPECT_FALSE(options.may_rent_spot);
+    for (auto *invalid :
+         {"(spindlecroft (spare 3))", "(other)", "(spindlecroft (spot maybe))",
+          "(spindlecroft (spare-replicas x))", "(spindlecroft (spot yes) (spot no))"})
+        EXPECT_THROW((void)settings::parse_operator_options(invalid, "f"), settings::settings_error)
+            << invalid;
 }
