--- a/apps/spindlecroft/main.cpp
+++ b/apps/spindlecroft/main.cpp
@@ -1,4 +1,5 @@
-// The controller program: command line, settings, logging; the rest is the library's.
+// The controller program: parses the command line, loads the settings, sets up logging and runs the
+// controller until it receives SIGINT or SIGTERM.
 #include "control/controller.hpp"
 #include "settings/settings.hpp"
 #include <CLI/CLI.hpp>
@@ -11,33 +12,33 @@
 
 static int run(int argc, char **argv) {
     CLI::App app{"spindlecroft: a cluster scheduler's controller"};
-    std::string config, operator_file;
-    bool check = false;
-    app.add_option("--config", config, "the platform's settings (TOML)")->required();
+    std::string platform_file, operator_file;
+    bool check_only = false;
+    app.add_option("--config", platform_file, "the platform's settings (TOML)")->required();
     app.add_option("--operator", operator_file, "the operators' own settings (S-expression)");
-    app.add_flag("--check", check, "check the settings and exit");
+    app.add_flag("--check", check_only, "check the settings and exit");
     app.set_version_flag("--version", std::string("spindlecroft ") + SPINDLECROFT_VERSION);
     CLI11_PARSE(app, argc, argv);
 
     auto logger = spdlog::stderr_logger_st("spindlecroft");
     logger->set_pattern("%L %v");
     spdlog::set_default_logger(logger);
-    const char *level = std::getenv("LOG_LEVEL");
-    std::string wanted = level ? level : "info";
-    spdlog::set_level(wanted == "debug"   ? spdlog::level::debug
-                      : wanted == "error" ? spdlog::level::err
-                                          : spdlog::level::info);
+    const char *log_level = std::getenv("LOG_LEVEL");
+    std::string level_name = log_level ? log_level : "info";
+    spdlog::set_level(level_name == "debug"   ? spdlog::level::debug
+                      : level_name == "error" ? spdlog::level::err
+                                              : spdlog::level::info);
 
     spindlecroft::settings::settings settings;
     try {
-        settings = spindlecroft::settings::load(config);
+        settings = spindlecroft::settings::load(platform_file);
         if (!operator_file.empty())
             settings.options = spindlecroft::settings::load_operator_options(operator_file);
-    } catch (const std::exception &e) {
-        std::cerr << "spindlecroft: " << e.what() << "\n";
+    } catch (const std::exception &error) {
+        std::cerr << "spindlecroft: " << error.what() << "\n";
         return 2;
     }
-    if (check) {
+    if (check_only) {
         std::cout << "settings are valid\n";
         return 0;
     }
@@ -47,7 +48,7 @@
     signals.async_wait([&](auto ec, int) {
         if (ec)
             return;
-        spdlog::info("stopping");
+        spdlog::info("stopping: received SIGINT or SIGTERM");
         controller.stop();
         io.stop();
     });
@@ -59,8 +60,8 @@
 int main(int argc, char **argv) {
     try {
         return run(argc, argv);
-    } catch (const std::exception &e) {
-        std::fprintf(stderr, "spindlecroft: %s\n", e.what());
+    } catch (const std::exception &error) {
+        std::fprintf(stderr, "spindlecroft: %s\n", error.what());
     } catch (...) {
         std::fputs("spindlecroft: unknown error\n", stderr);
     }
