--- a/src/net/async.hpp
+++ b/src/net/async.hpp
@@ -1,4 +1,4 @@
-// Small helpers for coroutines on one thread.
+// Helpers for Asio coroutines that run on one thread.
 #pragma once
 #include "common/time.hpp"
 #include <boost/asio/awaitable.hpp>
@@ -20,37 +20,38 @@
 template <class T>
 using awaitable = asio::awaitable<T>;
 
-/// The steady clock. Only routines that do input or output read it; decisions are given the time.
+/// Returns the steady clock's time. Only code that does I/O reads it; decision logic gets the time
+/// as an argument.
 [[nodiscard]] inline time_point steady_now() {
     return std::chrono::steady_clock::now();
 }
 
-/// The time of day; for records and messages, never for leases.
+/// Returns the wall clock's time; for records and messages, never for leases.
 [[nodiscard]] inline wall_time wall_now() {
     return std::chrono::system_clock::now();
 }
 
-/// A length in the unit of Asio's timers.
+/// Converts a duration to the unit of Asio's timers.
 [[nodiscard]] inline std::chrono::steady_clock::duration timer_ticks(seconds length) {
     return std::chrono::duration_cast<std::chrono::steady_clock::duration>(length);
 }
 
-/// Starts a coroutine of its own. What escapes it is logged under its name: one broken exchange
-/// must not end the process.
+/// Starts a detached coroutine. An exception that leaves it is logged with the coroutine's name and
+/// does not end the process.
 inline void spawn(asio::io_context &io, awaitable<void> routine, std::string name) {
-    asio::co_spawn(io, std::move(routine),
-                   [name = std::move(name)](const std::exception_ptr &failure) {
-                       if (!failure)
-                           return;
-                       try {
-                           std::rethrow_exception(failure);
-                       } catch (const std::exception &error) {
-                           spdlog::error("{} ended: {}", name, error.what());
-                       }
-                   });
+    asio::co_spawn(
+        io, std::move(routine), [name = std::move(name)](const std::exception_ptr &failure) {
+            if (!failure)
+                return;
+            try {
+                std::rethrow_exception(failure);
+            } catch (const std::exception &error) {
+                spdlog::error("coroutine '{}' ended with an exception: {}", name, error.what());
+            }
+        });
 }
 
-/// Suspends the calling coroutine.
+/// Suspends the calling coroutine for the given time.
 inline awaitable<void> sleep_for(seconds length) {
     asio::steady_timer timer(co_await asio::this_coro::executor);
     timer.expires_after(timer_ticks(length));
@@ -58,33 +59,33 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
 
-/// Wakes every coroutine that waits on it.
+/// A condition on which any number of coroutines wait.
 class signal {
   public:
     explicit signal(asio::io_context &io) : timer_(io) {
         timer_.expires_at(std::chrono::steady_clock::time_point::max());
     }
-    /// Wakes those that wait now; those that wait later are not woken by it.
+    /// Wakes all coroutines that are waiting; has no effect on later waits.
     void notify() { timer_.cancel(); }
     /// Waits for the next notification.
     awaitable<void> wait() {
         boost::system::error_code ec;
         co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
-    /// Waits for a notification, but at most for the given time. The flag is shared, since the
-    /// limit's handler may still be queued when the waiting coroutine has gone on.
-    awaitable<void> wait_for(seconds most) {
-        auto limit = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor);
-        auto over = std::make_shared<bool>(false);
-        limit->expires_after(timer_ticks(most));
-        limit->async_wait([this, over](boost::system::error_code ec) {
-            if (!ec && !*over)
+    /// Waits for a notification, but at most for the given time. The flag is shared, because the
+    /// timeout's handler may still be queued when the waiting coroutine has resumed.
+    awaitable<void> wait_for(seconds max_wait) {
+        auto timeout = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor);
+        auto finished = std::make_shared<bool>(false);
+        timeout->expires_after(timer_ticks(max_wait));
+        timeout->async_wait([this, finished](boost::system::error_code ec) {
+            if (!ec && !*finished)
                 timer_.cancel();
         });
         boost::system::error_code ec;
         co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-        *over = true;
-        limit->cancel();
+        *finished = true;
+        timeout->cancel();
     }
 
   private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -16,11 +16,11 @@
 using response_parser = http::response_parser<http::string_body>;
 
 request_message message_of(const std::string &host, const std::string &method,
-                           const std::string &target, const std::string &body, bool cbor) {
+                           const std::string &target, const std::string &body, bool is_cbor) {
     request_message message(http::string_to_verb(method), target, http_version);
     message.set(http::field::host, host);
     if (!body.empty() || method == "POST") {
-        message.set(http::field::content_type, content_type(cbor));
+        message.set(http::field::content_type, content_type(is_cbor));
         message.body() = body;
     }
     message.prepare_payload();
@@ -48,7 +48,7 @@
     beast::flat_buffer buffer;
     explicit connection(asio::io_context &io) : stream(io) {}
 
-    // Sends the request and reads its answer.
+    // Sends a request and reads its answer.
     awaitable<boost::system::error_code> exchange(const request_message &message,
                                                   response_parser &parser, ticks deadline) {
         boost::system::error_code ec;
@@ -61,42 +61,42 @@
     }
 };
 
-client::client(asio::io_context &io, const settings::address &to, std::size_t idle)
-    : io_(io), to_(to), idle_limit_(idle) {}
+client::client(asio::io_context &io, const settings::address &address, std::size_t max_idle)
+    : io_(io), address_(address), max_idle_(max_idle) {}
 
 client::~client() = default;
 
 awaitable<reply> client::call(std::string method, std::string target, std::string body,
-                              seconds timeout, bool cbor, permission permitted) {
-    used_at_ = steady_now();
-    auto open = take_idle();
-    bool reused = static_cast<bool>(open);
+                              seconds timeout, bool is_cbor, permission permitted) {
+    last_used_at_ = steady_now();
+    auto connected = take_idle();
+    bool reused = static_cast<bool>(connected);
     auto deadline = std::chrono::steady_clock::now() + timer_ticks(timeout);
     for (;;) {
-        if (!open)
-            open = co_await connect(deadline);
-        if (!open)
+        if (!connected)
+            connected = co_await connect(deadline);
+        if (!connected)
             co_return reply_without_answer(call_outcome::not_sent);
-        auto message = message_of(to_.host, method, target, body, cbor);
-        // Guards against a process that stood still while it connected and acts on old knowledge.
+        auto message = message_of(address_.host, method, target, body, is_cbor);
+        // Guards against a process that was paused while connecting and acts on outdated state.
         if (permitted && !permitted()) {
-            keep_idle(std::move(open));
+            keep_idle(std::move(connected));
             co_return reply_without_answer(call_outcome::not_sent);
         }
         response_parser parser;
         parser.body_limit(constants::max_response_body_bytes);
-        auto ec = co_await open->exchange(message, parser, deadline);
+        auto ec = co_await connected->exchange(message, parser, deadline);
         if (!ec) {
             bool keep = parser.get().keep_alive();
             auto result = reply_of(parser);
             if (keep)
-                keep_idle(std::move(open));
+                keep_idle(std::move(connected));
             co_return result;
         }
-        // A kept connection that the other side had closed: a GET is safe to send again.
+        // The other side had closed the idle connection: a GET can be repeated safely.
         bool stale = reused && ec != beast::error::timeout && method == "GET" &&
                      std::chrono::steady_clock::now() < deadline;
-        open.reset();
+        connected.reset();
         if (!stale)
             co_return reply_without_answer(call_outcome::unknown);
         reused = false;
@@ -104,29 +104,29 @@
 }
 
 awaitable<std::unique_ptr<client::connection>> client::connect(ticks deadline) {
-    auto fresh = std::make_unique<connection>(io_);
+    auto opened = std::make_unique<connection>(io_);
     boost::system::error_code ec;
-    fresh->stream.expires_at(deadline);
-    co_await fresh->stream.async_connect(endpoint_of(to_),
-                                         asio::redirect_error(asio::use_awaitable, ec));
+    opened->stream.expires_at(deadline);
+    co_await opened->stream.async_connect(endpoint_of(address_),
+                                          asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
         co_return nullptr;
-    fresh->stream.socket().set_option(tcp::no_delay(true), ec);
-    co_return fresh;
+    opened->stream.socket().set_option(tcp::no_delay(true), ec);
+    co_return opened;
 }
 
 std::unique_ptr<client::connection> client::take_idle() {
     if (idle_.empty())
         return nullptr;
-    auto kept = std::move(idle_.back());
+    auto reused = std::move(idle_.back());
     idle_.pop_back();
-    return kept;
+    return reused;
 }
 
-void client::keep_idle(std::unique_ptr<connection> open) {
-    open->stream.expires_never();
-    if (idle_.size() < idle_limit_)
-        idle_.push_back(std::move(open));
+void client::keep_idle(std::unique_ptr<connection> finished) {
+    finished->stream.expires_never();
+    if (idle_.size() < max_idle_)
+        idle_.push_back(std::move(finished));
 }
 
 } // namespace spindlecroft::net
--- a/src/net/http_common.hpp
+++ b/src/net/http_common.hpp
@@ -1,4 +1,4 @@
-// What the server and the clients share; for src/net only.
+// Helpers of the HTTP server and client; for src/net only.
 #pragma once
 #include "net/async.hpp"
 #include "settings/settings.hpp"
@@ -12,8 +12,8 @@
     return {asio::ip::make_address_v4(address.host), address.port};
 }
 
-[[nodiscard]] inline const char *content_type(bool cbor) {
-    return cbor ? "application/cbor" : "application/json";
+[[nodiscard]] inline const char *content_type(bool is_cbor) {
+    return is_cbor ? "application/cbor" : "application/json";
 }
 
 } // namespace spindlecroft::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,38 +14,39 @@
 
 using request_parser = http::request_parser<http::string_body>;
 
-enum class receipt { whole, too_large, failed };
+// The result of receiving a request, or its header.
+enum class receive_result { complete, too_large, failed };
 
-// Counts a connection as open for as long as it lives.
-class open_connection {
+// Counts a connection as open during the lifetime of this object.
+class connection_counter {
   public:
-    explicit open_connection(std::shared_ptr<std::size_t> count) : count_(std::move(count)) {
+    explicit connection_counter(std::shared_ptr<std::size_t> count) : count_(std::move(count)) {
         ++*count_;
     }
-    ~open_connection() { --*count_; }
-    open_connection(const open_connection &) = delete;
-    open_connection &operator=(const open_connection &) = delete;
+    ~connection_counter() { --*count_; }
+    connection_counter(const connection_counter &) = delete;
+    connection_counter &operator=(const connection_counter &) = delete;
 
   private:
     std::shared_ptr<std::size_t> count_;
 };
 
-receipt receipt_of(const boost::system::error_code &ec) {
+receive_result receive_result_of(const boost::system::error_code &ec) {
     if (!ec)
-        return receipt::whole;
-    return ec == http::error::body_limit ? receipt::too_large : receipt::failed;
+        return receive_result::complete;
+    return ec == http::error::body_limit ? receive_result::too_large : receive_result::failed;
 }
 
-awaitable<receipt> receive_header(beast::tcp_stream &stream, beast::flat_buffer &buffer,
-                                  request_parser &parser, seconds timeout) {
+awaitable<receive_result> receive_header(beast::tcp_stream &stream, beast::flat_buffer &buffer,
+                                         request_parser &parser, seconds timeout) {
     boost::system::error_code ec;
     stream.expires_after(timer_ticks(timeout));
     co_await http::async_read_header(stream, buffer, parser,
                                      asio::redirect_error(asio::use_awaitable, ec));
-    co_return receipt_of(ec);
+    co_return receive_result_of(ec);
 }
 
-// Tells a client that asks first to go on and send the body.
+// Sends the interim answer to a client that waits for it before it sends the body.
 awaitable<boost::system::error_code> send_continue(beast::tcp_stream &stream) {
     boost::system::error_code ec;
     http::response<http::empty_body> interim(http::status::continue_, http_version);
@@ -53,18 +54,18 @@
     co_return ec;
 }
 
-awaitable<receipt> receive_body(beast::tcp_stream &stream, beast::flat_buffer &buffer,
-                                request_parser &parser, seconds timeout) {
+awaitable<receive_result> receive_body(beast::tcp_stream &stream, beast::flat_buffer &buffer,
+                                       request_parser &parser, seconds timeout) {
     boost::system::error_code ec;
     stream.expires_after(timer_ticks(timeout));
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
         ec = co_await send_continue(stream);
         if (ec)
-            co_return receipt::failed;
+            co_return receive_result::failed;
     }
     co_await http::async_read(stream, buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
-    co_return receipt_of(ec);
+    co_return receive_result_of(ec);
 }
 
 http::response<http::string_body> message_of(response &answer, bool keep) {
@@ -81,18 +82,18 @@
 
 } // namespace
 
-server::server(asio::io_context &io, const settings::address &at, handler handle,
+server::server(asio::io_context &io, const settings::address &address, handler handle,
                server_limits limits, std::string name)
     : io_(io), acceptor_(io), handler_(std::move(handle)), limits_(limits), name_(std::move(name)) {
-    auto endpoint = endpoint_of(at);
+    auto endpoint = endpoint_of(address);
     acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint);
     acceptor_.listen();
 }
 
-bool server::is_crowded(std::size_t open, const server_limits &limits) {
-    return static_cast<double>(open) >
+bool server::is_crowded(std::size_t open_connections, const server_limits &limits) {
+    return static_cast<double>(open_connections) >
            constants::crowded_connection_share * static_cast<double>(limits.connections);
 }
 
@@ -114,12 +115,12 @@
         if (stopping_)
             co_return;
         if (ec) {
-            // Out of sockets: let some close rather than spin.
+            // No socket is free: waits for some to close instead of spinning.
             co_await sleep_for(constants::accept_retry_delay);
             continue;
         }
-        // Shed what is beyond the bound, so that workers and peers keep their sockets.
-        if (*open_ >= limits_.connections) {
+        // Closes connections beyond the limit, so that enough sockets stay free for other purposes.
+        if (*open_count_ >= limits_.connections) {
             socket.close(ec);
             continue;
         }
@@ -129,7 +130,7 @@
 }
 
 awaitable<void> server::serve(tcp::socket socket) {
-    open_connection counted(open_);
+    connection_counter counted(open_count_);
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
     boost::system::error_code ec;
@@ -140,17 +141,17 @@
         parser.header_limit(constants::max_request_header_bytes);
         auto received = co_await receive_header(stream, buffer, parser, header_timeout);
         header_timeout = limits_.idle_timeout; // between requests
-        if (received == receipt::whole)
+        if (received == receive_result::complete)
             received = co_await receive_body(stream, buffer, parser, limits_.request_timeout);
-        if (received == receipt::failed)
+        if (received == receive_result::failed)
             break;
         response answer;
-        bool keep = received == receipt::whole && parser.get().keep_alive();
-        if (received == receipt::whole) {
-            request question{std::string(parser.get().method_string()),
-                             std::string(parser.get().target()), std::move(parser.get().body())};
+        bool keep = received == receive_result::complete && parser.get().keep_alive();
+        if (received == receive_result::complete) {
+            request to_handle{std::string(parser.get().method_string()),
+                              std::string(parser.get().target()), std::move(parser.get().body())};
             stream.expires_never();
-            answer = co_await handle(std::move(question));
+            answer = co_await handle(std::move(to_handle));
         } else {
             answer = {413, R"({"error":"body over 64 KiB"})", 0, false};
         }
@@ -164,12 +165,12 @@
     stream.socket().shutdown(tcp::socket::shutdown_both, ec);
 }
 
-awaitable<response> server::handle(request question) {
+awaitable<response> server::handle(request received) {
     response answer;
     try {
-        answer = co_await handler_(std::move(question));
+        answer = co_await handler_(std::move(received));
     } catch (const std::exception &error) {
-        spdlog::error("{}: a request failed: {}", name_, error.what());
+        spdlog::error("{} server: a request handler threw an exception: {}", name_, error.what());
         answer = {503, R"({"error":"internal"})", constants::retry_after_s, false};
     }
     co_return answer;
