--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -119,7 +119,7 @@
             co_await sleep_for(constants::accept_retry_delay);
             continue;
         }
-        // Closes connections beyond the limit, so that enough sockets stay free for other purposes.
+        // Closes connections beyond the limit, so that workers and peers keep their sockets.
         if (*open_count_ >= limits_.connections) {
             socket.close(ec);
             continue;
