--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -125,7 +125,7 @@
 inline constexpr seconds candidate_vote_duration{2.0};
 /// Most random delay of a campaign: spreads the candidates that saw the same leadership end.
 inline constexpr seconds candidacy_jitter{0.35};
-/// Further delay of a controller that has voted for another candidate, which so goes first.
+/// Further delay of a controller that has voted for another candidate, so that the other goes first.
 inline constexpr seconds candidacy_yield_delay{0.2};
 /// Time between two checks whether this controller may campaign.
 inline constexpr seconds campaign_check_interval{0.2};
@@ -343,8 +343,8 @@
 inline constexpr double boot_hedge_ratio = 1.7;
 /// Time within which waiting work should start.
 inline constexpr seconds drain_target{8.0};
-/// Longest wait of work that may use spot machines for them, relative to that of other work, before
-/// on-demand machines are rented.
+/// Greatest factor by which work that may use spot machines waits longer than other work before
+/// on-demand machines are rented for it.
 inline constexpr double max_on_demand_wait_ratio = 5.0;
 /// Expected duration of a rental, to which the boot time is added in comparisons of prices.
 inline constexpr seconds expected_rental_duration{120.0};
