--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -125,7 +125,7 @@
 inline constexpr seconds candidate_vote_duration{2.0};
 /// Most random delay of a campaign: spreads the candidates that saw the same leadership end.
 inline constexpr seconds candidacy_jitter{0.35};
-/// Further delay of a controller that has voted for another candidate, so that the other goes first.
+/// Further delay of a controller that voted for another candidate, so that the other goes first.
 inline constexpr seconds candidacy_yield_delay{0.2};
 /// Time between two checks whether this controller may campaign.
 inline constexpr seconds campaign_check_interval{0.2};
