--- a/src/membership/cancel_exchange.cpp
+++ b/src/membership/cancel_exchange.cpp
@@ -7,24 +7,25 @@
 
 namespace c = constants;
 
-cancel_log::cancel_log(std::string incarnation, std::size_t most, std::size_t per_answer)
-    : incarnation_(std::move(incarnation)), max_entries_(most),
-      max_entries_per_response_(per_answer) {}
+cancel_log::cancel_log(std::string incarnation, std::size_t max_entries,
+                       std::size_t max_entries_per_response)
+    : incarnation_(std::move(incarnation)), max_entries_(max_entries),
+      max_entries_per_response_(max_entries_per_response) {}
 
 void cancel_log::drop_oldest() {
     auto &oldest = entries_.front();
     dropped_revision_ = std::max(dropped_revision_, oldest.notice.revision);
-    if (auto known = latest_revisions_.find(oldest.notice.job);
-        known != latest_revisions_.end() && known->second == oldest.notice.revision)
-        latest_revisions_.erase(known);
+    if (auto found = latest_revisions_.find(oldest.notice.job);
+        found != latest_revisions_.end() && found->second == oldest.notice.revision)
+        latest_revisions_.erase(found);
     entries_.pop_front();
 }
 
 void cancel_log::append(const cancel_notice &notice) {
-    auto [known, added] = latest_revisions_.try_emplace(notice.job, notice.revision);
-    if (!added && known->second >= notice.revision)
+    auto [found, added] = latest_revisions_.try_emplace(notice.job, notice.revision);
+    if (!added && found->second >= notice.revision)
         return;
-    known->second = notice.revision;
+    found->second = notice.revision;
     entries_.push_back({++newest_sequence_, notice});
     while (entries_.size() > max_entries_)
         drop_oldest();
@@ -35,68 +36,72 @@
         drop_oldest();
 }
 
-cancel_log_response cancel_log::respond(const cancel_log_request &question) const {
-    cancel_log_response answer;
-    answer.incarnation = incarnation_;
-    answer.after_sequence = question.incarnation == incarnation_
-                                ? std::min(question.after_sequence, newest_sequence_)
-                                : 0;
-    answer.newest_sequence = newest_sequence_;
+cancel_log_response cancel_log::respond(const cancel_log_request &request) const {
+    cancel_log_response response;
+    response.incarnation = incarnation_;
+    response.after_sequence = request.incarnation == incarnation_
+                                  ? std::min(request.after_sequence, newest_sequence_)
+                                  : 0;
+    response.newest_sequence = newest_sequence_;
     auto first = entries_.empty() ? newest_sequence_ + 1 : entries_.front().sequence;
-    if (answer.after_sequence + 1 < first)
-        answer.dropped_through_revision = dropped_revision_;
-    answer.through_sequence = answer.after_sequence;
-    for (auto &logged : entries_) {
-        if (logged.sequence <= answer.after_sequence)
+    if (response.after_sequence + 1 < first)
+        response.dropped_through_revision = dropped_revision_;
+    response.through_sequence = response.after_sequence;
+    for (auto &entry : entries_) {
+        if (entry.sequence <= response.after_sequence)
             continue;
-        if (logged.notice.revision > question.revision) {
-            if (answer.entries.size() >= max_entries_per_response_)
-                return answer; // the rest with the next question
-            answer.entries.push_back(logged.notice);
+        if (entry.notice.revision > request.revision) {
+            if (response.entries.size() >= max_entries_per_response_)
+                return response; // the rest follows with the next request
+            response.entries.push_back(entry.notice);
         }
-        answer.through_sequence = logged.sequence;
+        response.through_sequence = entry.sequence;
     }
-    answer.through_sequence = newest_sequence_;
-    return answer;
+    response.through_sequence = newest_sequence_;
+    return response;
 }
 
-std::vector<cancel_notice> cancel_log_reader::on_response(const cancel_log_request &question,
-                                                          const cancel_log_response &answer,
+std::vector<cancel_notice> cancel_log_reader::on_response(const cancel_log_request &request,
+                                                          const cancel_log_response &response,
                                                           time_point sent_at) {
-    bool same_incarnation = answer.incarnation == question.incarnation;
-    if (question.incarnation != incarnation_ || question.after_sequence != after_sequence_)
-        throw wire::malformed_message("cancels: an answer to an earlier question");
-    if (answer.incarnation.empty() ||
-        answer.after_sequence != (same_incarnation ? question.after_sequence : 0) ||
-        answer.through_sequence < answer.after_sequence ||
-        answer.newest_sequence < answer.through_sequence) {
-        incarnation_.clear(); // asked anew from the beginning
+    bool same_incarnation = response.incarnation == request.incarnation;
+    if (request.incarnation != incarnation_ || request.after_sequence != after_sequence_)
+        throw wire::malformed_message("cancel log: response to an earlier request");
+    if (response.incarnation.empty() ||
+        response.after_sequence != (same_incarnation ? request.after_sequence : 0) ||
+        response.through_sequence < response.after_sequence ||
+        response.newest_sequence < response.through_sequence) {
+        incarnation_.clear(); // the next request starts from the beginning
         after_sequence_ = 0;
-        throw wire::malformed_message("cancels: the answer contradicts the question or itself");
+        throw wire::malformed_message("cancel log: response contradicts the request or itself");
     }
-    incarnation_ = answer.incarnation;
-    after_sequence_ = answer.through_sequence;
+    incarnation_ = response.incarnation;
+    after_sequence_ = response.through_sequence;
     missing_through_revision_ =
-        std::max(missing_through_revision_, answer.dropped_through_revision);
-    // Guards against ran_cancelled: a controller that started anew and has not read the records, or
-    // gave up entries, or has more to tell, can't speak for what was told to users before.
-    if (answer.records_loaded && missing_through_revision_ <= question.revision &&
-        answer.through_sequence == answer.newest_sequence) {
+        std::max(missing_through_revision_, response.dropped_through_revision);
+    // A task of a cancelled job must not keep running or start. A controller that has restarted and
+    // not yet read the records, has dropped entries or has further entries to send may have
+    // confirmed cancellations that this response lacks, so the response does not advance
+    // complete_until_.
+    if (response.records_loaded && missing_through_revision_ <= request.revision &&
+        response.through_sequence == response.newest_sequence) {
         complete_until_ = std::max(complete_until_, sent_at);
-        if (answer.read_age)
+        if (response.read_age)
             durable_complete_until_ = std::max(
                 durable_complete_until_,
-                sent_at - *answer.read_age * (1 + 2 * c::clock_drift) - c::authority_margin);
+                sent_at - *response.read_age * (1 + 2 * c::clock_drift) - c::authority_margin);
     }
-    return answer.entries;
+    return response.entries;
 }
 
-// Guards against ran_cancelled where the leader cannot read the key-value store: it would keep
-// renewing the leases of tasks whose cancel another controller has accepted. In an outage nobody
-// can accept a cancel, the others say so, and running work goes on.
+// A leader that cannot read the key-value store would otherwise keep renewing the leases of tasks
+// whose cancellation another controller has confirmed, and tasks of a cancelled job would keep
+// running. When the store is down for every controller, none can confirm a cancellation; their
+// responses show that, and running tasks keep their leases.
 time_point cancels_complete_until(time_point now, time_point fresh_at,
                                   const std::vector<const cancel_log_reader *> &readers) {
-    // What any controller has read and told us counts like a read of our own.
+    // A read of the store by any controller that has passed on its entries counts like a read by
+    // this one.
     auto durable = fresh_at;
     for (auto *reader : readers)
         durable = std::max(durable, reader->durable_complete_until());
@@ -106,11 +111,11 @@
     return std::max(until, durable);
 }
 
-bool may_renew_lease(time_point now, time_point known_until, seconds lease_duration,
+bool may_renew_lease(time_point now, time_point complete_until, seconds lease_duration,
                      seconds cancel_deadline) {
     auto allowed =
         cancel_deadline - lease_duration * (1 + c::clock_drift) - c::cancel_delivery_margin;
-    return now - known_until < std::max(allowed, c::least_cancel_silence);
+    return now - complete_until < std::max(allowed, c::least_cancel_silence);
 }
 
 } // namespace spindlecroft::membership
--- a/src/membership/election.cpp
+++ b/src/membership/election.cpp
@@ -6,8 +6,8 @@
 
 namespace c = constants;
 
-// A controller that started anew does not know its earlier votes. Without others it has none to
-// remember.
+// A restarted controller does not remember which votes it gave before. Without other controllers it
+// gave none to remember.
 static seconds vote_blackout(std::size_t peers) {
     if (peers == 0)
         return seconds{0};
@@ -38,7 +38,7 @@
     return key_holder_ == node_ ? std::string() : key_holder_;
 }
 
-// --- news of the other controllers ---
+// --- messages from other controllers ---
 
 std::optional<bool> election::on_request(const peer_request &request, time_point now) {
     std::optional<bool> granted;
@@ -51,24 +51,25 @@
             leader_acknowledged_at_ = now;
         }
     }
-    if (auto report = peer_statuses_.find(request.from); report != peer_statuses_.end()) {
-        report->second.last_message_at = now;
+    if (auto status = peer_statuses_.find(request.from); status != peer_statuses_.end()) {
+        status->second.last_message_at = now;
         if (request.store_reachable)
-            report->second.store_reachable = *request.store_reachable;
+            status->second.store_reachable = *request.store_reachable;
     }
     return granted;
 }
 
-void election::on_response(const std::string &peer, const vote_response &answer, time_point now) {
-    auto &report = peer_statuses_[peer];
-    report.last_message_at = now;
-    report.store_reachable = answer.store_reachable;
-    report.heartbeat_age = answer.heartbeat_age;
+void election::on_response(const std::string &peer, const vote_response &response, time_point now) {
+    auto &status = peer_statuses_[peer];
+    status.last_message_at = now;
+    status.store_reachable = response.store_reachable;
+    status.heartbeat_age = response.heartbeat_age;
 }
 
 void election::on_vote_granted(const std::string &peer, const peer_request &request,
                                time_point sent_at, time_point now) {
-    // A vote to an earlier candidacy doesn't count, and none revives a leader that lapsed.
+    // A vote for an earlier candidacy is not counted, and no vote restores the expired authority of
+    // a leader.
     if (is_current(request, now))
         authority_.on_vote_granted(peer, sent_at, request.vote_duration);
 }
@@ -79,15 +80,15 @@
 }
 
 bool election::store_reachable_elsewhere(time_point now) const {
-    for (auto &[name, report] : peer_statuses_)
-        if (report.store_reachable && !elapsed(report.last_message_at, c::peer_report_valid, now))
+    for (auto &[name, status] : peer_statuses_)
+        if (status.store_reachable && !elapsed(status.last_message_at, c::peer_report_valid, now))
             return true;
     return false;
 }
 
-bool election::is_isolated_for(seconds length, time_point now) const {
-    for (auto &[name, report] : peer_statuses_)
-        if (!elapsed(report.last_message_at, length, now))
+bool election::is_isolated_for(seconds duration, time_point now) const {
+    for (auto &[name, status] : peer_statuses_)
+        if (!elapsed(status.last_message_at, duration, now))
             return false;
     return !peer_statuses_.empty();
 }
@@ -156,17 +157,17 @@
     bool without_store = store_silence > c::step_down_store_silence;
     bool without_heartbeats =
         last_heartbeat_ && now - *last_heartbeat_ > c::step_down_heartbeat_silence;
-    for (auto &[name, report] : peer_statuses_) {
-        // Guards against an outage without a leader: only a controller that the key-value store
-        // answers can be elected, and its report must be fresh, for the store may by now be gone
-        // for all.
-        if (!report.last_message_at || now - *report.last_message_at > c::peer_report_fresh ||
-            !report.store_reachable)
+    for (auto &[name, status] : peer_statuses_) {
+        // Prevents the cluster from being without a leader during an outage: only a controller that
+        // the key-value store answers can be elected, and its report must be recent, because the
+        // store may have become unreachable for all controllers since.
+        if (!status.last_message_at || now - *status.last_message_at > c::peer_report_fresh ||
+            !status.store_reachable)
             continue;
         if (without_store)
             return true;
-        if (without_heartbeats && report.heartbeat_age &&
-            *report.heartbeat_age < c::peer_heartbeat_recent)
+        if (without_heartbeats && status.heartbeat_age &&
+            *status.heartbeat_age < c::peer_heartbeat_recent)
             return true;
     }
     return false;
--- a/src/membership/leader_key.cpp
+++ b/src/membership/leader_key.cpp
@@ -25,7 +25,7 @@
     try {
         state.node = wire::parse_leader(stored->item.value).node;
     } catch (const wire::malformed_message &) {
-        state.node.clear(); // somebody leads, but nobody can be sent there
+        state.node.clear(); // there is a leader, but clients can't be redirected to it
     }
     co_return state;
 }
@@ -43,7 +43,8 @@
     auto result = co_await write(0, lease, 0, std::move(permitted));
     if (result.outcome == transaction_outcome::committed && result.revision != 0)
         co_return result.revision;
-    // It may have been executed, or may yet be; only our own key counts.
+    // The transaction may have been executed or may still be; a read shows whether the key belongs
+    // to this controller.
     if (result.outcome == transaction_outcome::unknown)
         co_return co_await version_if_bound_to(lease);
     co_return std::nullopt;
@@ -54,10 +55,10 @@
                                                                 std::uint64_t raise,
                                                                 net::permission permitted) {
     auto result = co_await write(token, lease, raise, std::move(permitted));
-    // Its condition held, so nothing else raised the token meanwhile.
+    // The condition on the version held, so no other transaction raised the token in between.
     if (result.outcome == transaction_outcome::committed)
         co_return result.revision;
-    // An earlier raise without an answer may have been executed.
+    // An earlier raise whose outcome is unknown may have been executed.
     if (result.outcome == transaction_outcome::unknown ||
         result.outcome == transaction_outcome::conflict)
         co_return co_await version_if_bound_to(lease);
--- a/src/membership/lease_votes.hpp
+++ b/src/membership/lease_votes.hpp
@@ -1,9 +1,10 @@
-// Who may act for the controllers, and until when. Pure: time comes in.
+// Votes and the leader's authority, both limited in time. No I/O; the caller passes the time.
 //
-// A leader is valid while EITHER its lease at the key-value store OR votes of a majority of
-// controllers are live. To become leader one needs BOTH: the leader key free at the key-value store
-// and votes of a majority. So two leaders can't be valid at once: the key is free only when the
-// old one's lease ended, and a majority that votes to the new one leaves the old one without.
+// A leader may act while EITHER its lease in the key-value store OR votes of a majority of
+// controllers are valid. To become leader a candidate needs BOTH: the leader key must be free in
+// the key-value store, and a majority must vote for it. So two leaders can't have authority at
+// once: the key is free only after the old leader's lease has ended, and a majority that votes for
+// the new leader leaves the old one without a majority.
 #pragma once
 #include "common/time.hpp"
 #include <map>
@@ -13,18 +14,21 @@
 
 namespace spindlecroft::membership {
 
-// The vote that one controller gives to another's candidacy, or to its own.
+/// The vote of one controller, held by at most one candidacy at a time: its own or that of another
+/// controller.
 class voter {
   public:
-    // A restarted controller doesn't remember its votes, so it gives none until every earlier one
-    // must have ended.
+    /// A restarted controller doesn't remember its votes, so it gives none during the blackout, by
+    /// the end of which every earlier vote has expired.
     voter(time_point started_at, seconds blackout);
-    // Votes for `to`, and for nobody else, until now + length. false: the vote is another's.
-    bool grant(const std::string &to, seconds length, time_point now);
-    // Takes the vote back if it is given to `to`; a late release of another frees nothing.
-    void release(const std::string &to);
+    /// Votes for the candidacy until now + duration, or extends its vote. Returns false if another
+    /// candidacy holds the vote, or during the blackout.
+    bool grant(const std::string &candidacy, seconds duration, time_point now);
+    /// Frees the vote if this candidacy holds it; a late release by another candidacy has no
+    /// effect.
+    void release(const std::string &candidacy);
     [[nodiscard]] bool in_blackout(time_point now) const { return now < blackout_until_; }
-    // The candidacy that the live vote is given to; empty: none.
+    /// The candidacy that holds a valid vote; empty: none.
     [[nodiscard]] std::string holder(time_point now) const {
         return now < until_ ? holder_ : std::string();
     }
@@ -35,34 +39,36 @@
     std::optional<time_point> until_;
 };
 
-// What a leader or candidate knows of its own entitlement.
+/// The authority of a leader or candidate, from the votes and the lease that it holds.
 class leader_authority {
   public:
     leader_authority(std::string self, std::size_t controllers);
-    // Times given are those at which the request was sent, which is never too late.
-    void on_vote_granted(const std::string &by, time_point sent_at, seconds length);
-    void on_lease_renewed(time_point sent_at, seconds length);
+    /// sent_at is the time at which the request was sent: counted from there, authority ends no
+    /// later than the vote or lease itself.
+    void on_vote_granted(const std::string &controller, time_point sent_at, seconds duration);
+    void on_lease_renewed(time_point sent_at, seconds duration);
     void on_lease_ended() { lease_until_.reset(); }
     void clear();
-    // Live votes of more than half of the controllers.
+    /// Returns whether more than half of the controllers have given a vote that is still valid.
     [[nodiscard]] bool has_majority(time_point now) const;
     [[nodiscard]] bool has_live_lease(time_point now) const { return now < lease_until_; }
     [[nodiscard]] bool is_valid(time_point now) const {
         return has_live_lease(now) || has_majority(now);
     }
-    // Until when it surely stays valid without news.
+    /// Returns the time up to which the authority stays valid without further votes or renewals.
     [[nodiscard]] time_point valid_until(time_point now) const;
 
   private:
     std::string self_;
     std::size_t controllers_;
-    std::map<std::string, time_point> votes_; // by controller, when they end
+    std::map<std::string, time_point> votes_; // end of the vote, by controller
     std::optional<time_point> lease_until_;
 };
 
-// Whether a node should send users elsewhere: it is without the key-value store while another has
-// it, or hears nobody at all and so can't tell. In an outage for all, everybody stays.
-[[nodiscard]] bool should_divert_users(seconds store_silence, bool store_served_elsewhere,
-                                       bool isolated);
+/// Returns whether this controller should direct users to other controllers by reporting itself as
+/// not ready: the key-value store does not answer it, and another controller is served by the store
+/// or this one is isolated and can't tell. In an outage for all controllers every one stays ready.
+[[nodiscard]] bool should_divert_users(seconds store_silence, bool store_reachable_elsewhere,
+                                       bool is_isolated);
 
 } // namespace spindlecroft::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -1,4 +1,4 @@
-// The stages of an election: follow, campaign, lead. Messages are in member_messages.cpp.
+// The states of an election: follower, candidate, leader. member_messages.cpp has the messages.
 #include "membership/member.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -36,9 +36,9 @@
 }
 
 net::client *member::peer_client(const std::string &name) {
-    for (auto &link : peers_)
-        if (link->name == name)
-            return link->client.get();
+    for (auto &peer : peers_)
+        if (peer->name == name)
+            return peer->client.get();
     return nullptr;
 }
 
@@ -54,14 +54,14 @@
     return election_.store_reachable_elsewhere(steady_now());
 }
 
-bool member::is_isolated_for(seconds length) const {
-    return election_.is_isolated_for(length, steady_now());
+bool member::is_isolated_for(seconds duration) const {
+    return election_.is_isolated_for(duration, steady_now());
 }
 
 void member::step_down(const char *reason) {
     if (!election_.step_down())
         return;
-    spdlog::warn("giving up leadership: {}", reason);
+    spdlog::warn("stepping down as leader: {}", reason);
     state_changed_.notify();
 }
 
@@ -90,7 +90,8 @@
 
 // Returns when the leader key is free and this controller may campaign.
 awaitable<void> member::run_follower() {
-    std::optional<std::uint64_t> known_revision; // the key is there, as read or watched up to here
+    // Store revision up to which the leader key is known to exist; nothing: it has to be read.
+    std::optional<std::uint64_t> known_revision;
     while (!stopping_) {
         if (!known_revision) {
             auto key = co_await leader_key_.read();
@@ -123,11 +124,12 @@
         co_await state_changed_.wait_for(c::campaign_retry);
         co_return false;
     }
-    // Spreads those who saw the same end; who voted for another waits longer.
+    // The jitter spreads controllers that saw the leader key disappear at the same time; one that
+    // voted for another candidate waits longer.
     uniform_distribution jitter(0, c::candidacy_jitter.count());
-    bool yields = election_.has_voted_for_another(now);
-    co_await net::sleep_for(yields ? seconds{c::candidacy_yield.count() + jitter(random_)}
-                                   : seconds{jitter(random_)});
+    bool is_yielding = election_.has_voted_for_another(now);
+    co_await net::sleep_for(is_yielding ? seconds{c::candidacy_yield.count() + jitter(random_)}
+                                        : seconds{jitter(random_)});
     co_return true;
 }
 
@@ -139,23 +141,23 @@
     auto key = co_await acquire_leader_key();
     if (!key)
         co_return;
-    // The votes must still hold now that the key is ours: else the former leader may have got
-    // them back in between.
+    // The votes must still be valid once the key is acquired: otherwise the former leader may have
+    // got them back in between.
     auto now = steady_now();
     if (key->version == 0 || !election_.has_majority(now)) {
         election_.abandon_campaign();
-        net::spawn(io_, store_.end_lease(key->lease), "end lease");
+        net::spawn(io_, store_.end_lease(key->lease), "lease release");
         release_votes();
         co_return;
     }
     election_.become_leader(*key, now);
     store_.leading(true);
-    spdlog::info("leading with token {}", election_.token());
+    spdlog::info("elected leader with fencing token {}", election_.token());
     if (on_elected)
         on_elected();
 }
 
-// Asks all for their votes. Returns whether they are a majority.
+// Requests the votes of all controllers. Returns whether a majority was granted.
 awaitable<bool> member::gather_votes() {
     auto now = steady_now();
     if (!election_.start_campaign(now))
@@ -172,9 +174,10 @@
     co_return false;
 }
 
-// Returns nothing if there is no lease to bind the key to; version 0: the key is not ours.
+// Returns nothing if no lease could be created to bind the key to. Version 0: the key is not known
+// to belong to this controller.
 awaitable<std::optional<acquired_leader_key>> member::acquire_leader_key() {
-    auto lease_sent_at = steady_now();
+    auto lease_requested_at = steady_now();
     auto lease = co_await store_.new_lease(c::leader_lease);
     if (!lease) {
         abandon_campaign();
@@ -182,7 +185,7 @@
     }
     net::permission permitted = [this] { return election_.has_majority(steady_now()); };
     auto version = co_await leader_key_.acquire(*lease, std::move(permitted));
-    co_return acquired_leader_key{version.value_or(0), *lease, lease_sent_at};
+    co_return acquired_leader_key{version.value_or(0), *lease, lease_requested_at};
 }
 
 void member::abandon_campaign() {
@@ -193,12 +196,14 @@
 // --- a leader ---
 
 awaitable<void> member::run_leader() {
-    // Workers reported to the former leader so far: their silence is counted from here.
+    // Workers sent their heartbeats to the former leader until now, so their silence is counted
+    // from here.
     election_.on_heartbeat(steady_now());
     while (!stopping_ && election_.state() == election_state::leader) {
         auto now = steady_now();
         if (!election_.is_leading(now)) {
-            spdlog::warn("leadership lapsed");
+            spdlog::warn(
+                "leadership expired: neither the leader lease nor a majority of votes is valid");
             break;
         }
         if (!run_leader_round(now))
@@ -210,23 +215,24 @@
     co_await net::sleep_for(c::follow_pause);
 }
 
-// One round. Requests to others run on their own, so that no one that hangs holds up the rest.
-// Returns false if this controller gives way to another.
+// Runs one round of the leader's work. Requests to other controllers run in coroutines of their
+// own, so that one that hangs does not delay the rest. Returns false if this controller steps down
+// for another.
 bool member::run_leader_round(time_point now) {
     if (election_.take_due_renewal(now)) {
-        net::spawn(io_, renew_lease(), "renew");
+        net::spawn(io_, renew_lease(), "lease renewal");
         election_.renew_own_vote(now);
         request_votes(requester_role::leader, c::vote_length);
     }
     if (election_.is_better_leader_available(store_.silence(now), now)) {
         election_.pause_campaigns(now);
-        step_down("another controller is better placed");
+        step_down("another controller is better connected to the key-value store or the workers");
         return false;
     }
     if (election_.take_key_check_request())
-        net::spawn(io_, check_leader_key(), "check key");
+        net::spawn(io_, check_leader_key(), "leader key check");
     if (election_.take_token_raise_request())
-        net::spawn(io_, raise_token(), "raise");
+        net::spawn(io_, raise_token(), "token raise");
     return true;
 }
 
@@ -235,7 +241,7 @@
     store_.leading(false);
     if (on_leadership_ended)
         on_leadership_ended();
-    net::spawn(io_, store_.end_lease(election_.lease()), "end lease");
+    net::spawn(io_, store_.end_lease(election_.lease()), "lease release");
     release_votes();
 }
 
@@ -252,9 +258,10 @@
     if (result == store::lease_renewal::renewed) {
         election_.on_lease_renewed(sent_at);
     } else if (result == store::lease_renewal::ended) {
-        // The key is gone and with it every write: others may campaign as soon as votes end.
+        // The key was deleted with the lease, so no write can succeed: other controllers may
+        // campaign as soon as the votes expire.
         election_.on_lease_ended();
-        step_down("its lease at the state service ended");
+        step_down("the leader lease in the key-value store ended");
     }
 }
 
@@ -269,8 +276,9 @@
         apply_token(*version);
 }
 
-// Guards against a leader that can write nothing any more and keeps leading: a raise without an
-// answer may be executed after the key was read, and the token then lags behind the key for ever.
+// Prevents a leader that can't write any more from staying leader: a raise of unknown outcome may
+// be executed after the key was read, and the token would then differ from the key's version
+// permanently.
 awaitable<void> member::check_leader_key() {
     if (!election_.start_key_operation())
         co_return;
@@ -282,13 +290,13 @@
     if (key->found && key->lease == lease)
         apply_token(key->version);
     else
-        step_down("the leader key is not ours any more");
+        step_down("the leader key no longer belongs to this controller");
 }
 
 void member::apply_token(std::uint64_t version) {
     if (!election_.raise_token(version))
         return;
-    spdlog::debug("token raised to {}", election_.token());
+    spdlog::debug("fencing token raised to {}", election_.token());
     if (on_token_raised)
         on_token_raised(election_.token());
 }
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,6 @@
-// This controller as a member of the cluster of controllers: it sends and receives what the
-// election, the leader key and the exchange of cancels ask for. What to do is decided there.
+// This controller as a member of the cluster of controllers: performs the I/O that the election,
+// the leader key and the exchange of cancellation notices ask for. Decisions are made in those
+// classes.
 #pragma once
 #include "common/time.hpp"
 #include "membership/cancel_exchange.hpp"
@@ -15,67 +16,81 @@
 
 namespace spindlecroft::membership {
 
+/// Takes part in the election, and exchanges votes and cancellation notices with the other
+/// controllers.
 class member {
   public:
     member(net::asio::io_context &io, const settings::settings &settings,
            store::key_value_client &store);
 
-    // Runs until stop(): follows the leader key, campaigns when it is free, leads while entitled.
+    /// Runs until stop(): watches the leader key as a follower, campaigns when the key is free, and
+    /// leads while it has the authority to.
     net::awaitable<void> run();
     void stop();
 
-    // Whether this controller may act as the leader. Checked right before every answer and command.
+    /// Returns whether this controller may act as the leader. To be checked right before every
+    /// response and command.
     [[nodiscard]] bool is_leading() const;
-    // The fencing token of this leadership, or of the last one.
+    /// The fencing token of this leadership, or of the last one.
     [[nodiscard]] std::uint64_t token() const { return election_.token(); }
-    // The node that heartbeats should go to, as far as known; empty: unknown.
+    /// The node that workers should send heartbeats to; empty: unknown.
     [[nodiscard]] std::string leader_hint() const;
+    /// Gives up the leadership, if this controller leads. The reason is logged.
     void step_down(const char *reason);
-    // Raises the fencing token within this leadership.
+    /// Asks for a raise of the fencing token within this leadership.
     void request_token_raise() { election_.request_token_raise(); }
-    // The leader key has another version than our token: it is read again.
+    /// Asks for a read of the leader key, whose version differs from this controller's token.
     void request_leader_key_check();
 
-    // Answers a message from another controller. Throws wire::malformed_message.
+    /// Handles a message from another controller and returns the response. Throws
+    /// wire::malformed_message.
     [[nodiscard]] std::string handle_message(const std::string &body);
-    // Another controller said of late that the key-value store answers it.
+    /// Returns whether another controller has recently reported that the key-value store answers
+    /// it.
     [[nodiscard]] bool store_reachable_elsewhere() const;
-    // No other controller was heard from for so long, though there are others.
-    [[nodiscard]] bool is_isolated_for(seconds length) const;
-    // A cancel is durable; noted before any user is told.
+    /// Returns whether there are other controllers and none of them has sent a message for this
+    /// long.
+    [[nodiscard]] bool is_isolated_for(seconds duration) const;
+    /// Adds a durable cancellation to this controller's log. To be called before the user gets the
+    /// response.
     void add_cancel(const cancel_notice &notice) { cancel_log_.append(notice); }
-    // The time up to which no controller can have told a user of a cancel that is not known here.
+    /// The time up to which every cancellation that any controller can have confirmed to a user is
+    /// known here.
     [[nodiscard]] time_point cancels_complete_until() const;
-    // A worker's heartbeat arrived.
+    /// Records the arrival of a worker's heartbeat.
     void on_heartbeat() { election_.on_heartbeat(net::steady_now()); }
 
-    // What this controller has read of the jobs' records.
+    /// How far this controller has read the job records.
     struct records_status {
         bool loaded = false;
         std::uint64_t revision = 0;
-        time_point fresh_at = time_point::min(); // all that was durable then is known
+        time_point fresh_at = time_point::min(); // every record that was durable then has been read
     };
+    /// Returns the current status; to be set before run().
     std::function<records_status()> get_records_status;
+    /// Called to start a read of the job records.
     std::function<void()> request_records_read;
-    // Cancels that another controller told of, while this one leads.
+    /// Called, while this controller leads, with cancellations that another controller confirmed.
     std::function<void(const std::vector<cancel_notice> &)> on_cancels;
-    std::function<void()> on_elected; // the token is set
+    std::function<void()> on_elected; // called once the token is set
     std::function<void()> on_leadership_ended;
+    /// Called with the new fencing token.
     std::function<void(std::uint64_t)> on_token_raised;
-    // The client of another controller, for other exchanges; null: there is none of that name.
+    /// Returns the client of another controller, for messages other than votes; null: there is no
+    /// controller of that name.
     net::client *peer_client(const std::string &name);
 
   private:
-    // Another controller.
+    /// Another controller, and the state of the exchange with it.
     struct peer_link {
         std::string name;
         std::unique_ptr<net::client> client;
         cancel_log_reader cancel_reader;
-        bool request_pending = false; // a request to it is under way
-        std::string last_error;       // guards against one log line a round
+        bool request_pending = false; // a request is in progress
+        std::string last_error; // last logged protocol error; each is logged once, not every round
     };
 
-    // --- member.cpp: the stages of an election ---
+    // --- member.cpp: the states of an election ---
     net::awaitable<void> run_follower();
     net::awaitable<bool> wait_before_campaign();
     net::awaitable<void> run_campaign();
@@ -91,15 +106,15 @@
     void apply_token(std::uint64_t version);
 
     // --- member_messages.cpp: messages between controllers ---
-    void request_votes(requester_role role, seconds vote_length);
-    net::awaitable<void> request_vote(peer_link &link, requester_role role, seconds vote_length);
-    [[nodiscard]] peer_request make_vote_request(const peer_link &link, requester_role role,
-                                                 seconds vote_length) const;
-    void handle_response(peer_link &link, const peer_request &request, const std::string &body,
+    void request_votes(requester_role role, seconds vote_duration);
+    net::awaitable<void> request_vote(peer_link &peer, requester_role role, seconds vote_duration);
+    [[nodiscard]] peer_request make_vote_request(const peer_link &peer, requester_role role,
+                                                 seconds vote_duration) const;
+    void handle_response(peer_link &peer, const peer_request &request, const std::string &body,
                          time_point sent_at);
-    void handle_cancels(peer_link &link, const cancel_log_request &question,
-                        const cancel_log_response &answer, time_point sent_at);
-    [[nodiscard]] cancel_log_response make_cancel_log_response(const cancel_log_request &question,
+    void handle_cancels(peer_link &peer, const cancel_log_request &request,
+                        const cancel_log_response &response, time_point sent_at);
+    [[nodiscard]] cancel_log_response make_cancel_log_response(const cancel_log_request &request,
                                                                time_point now);
     void release_votes();
 
@@ -107,7 +122,7 @@
     const settings::settings &settings_;
     store::key_value_client &store_;
     boost::random::mt19937 random_;
-    std::string incarnation_; // names this run of this controller
+    std::string incarnation_; // identifies this process among all runs of this controller
     election election_;
     leader_key leader_key_;
     std::vector<std::unique_ptr<peer_link>> peers_;
--- a/src/membership/peer_messages.cpp
+++ b/src/membership/peer_messages.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-// Keys and values on the wire. Controllers of the version in production read them: they stay.
+// Keys and values on the wire. Controllers of the version in production read them, so they must not
+// change.
 namespace keys {
 constexpr auto kind = "kind";
 constexpr auto from = "from";
 constexpr auto candidacy = "as";
 constexpr auto role = "role";
 constexpr auto vote_length_ms = "ms";
-constexpr auto store_serving = "state_ok";
+constexpr auto store_reachable = "state_ok";
 constexpr auto wants_store_check = "wants_word";
 constexpr auto granted = "granted";
 constexpr auto heartbeat_age_ms = "reports_age_ms";
@@ -35,7 +36,7 @@
 constexpr auto role_candidate = "candidate";
 } // namespace values
 
-// The longest ages that are sent; they stand for "never" too.
+// The greatest ages that are sent; they also stand for "never".
 constexpr double longest_heartbeat_age_ms = 1e6;
 constexpr double longest_read_age_ms = 1e9;
 
@@ -55,10 +56,10 @@
     return message.numbers.count(key) != 0;
 }
 
-void encode_question(const cancel_log_request &question, wire::peer_message &out) {
-    out.texts[keys::cancels_incarnation] = question.incarnation;
-    out.numbers[keys::cancels_after] = question.after_sequence;
-    out.numbers[keys::cancels_revision] = question.revision;
+void encode_cancel_log_request(const cancel_log_request &request, wire::peer_message &out) {
+    out.texts[keys::cancels_incarnation] = request.incarnation;
+    out.numbers[keys::cancels_after] = request.after_sequence;
+    out.numbers[keys::cancels_revision] = request.revision;
 }
 
 void encode_vote_request(const peer_request &request, wire::peer_message &out) {
@@ -68,25 +69,25 @@
     out.numbers[keys::vote_length_ms] =
         static_cast<std::uint64_t>(request.vote_duration.count() * 1000);
     if (request.store_reachable)
-        out.numbers[keys::store_serving] = *request.store_reachable;
+        out.numbers[keys::store_reachable] = *request.store_reachable;
     if (request.wants_store_check)
         out.numbers[keys::wants_store_check] = *request.wants_store_check;
     if (request.cancels)
-        encode_question(*request.cancels, out);
+        encode_cancel_log_request(*request.cancels, out);
 }
 
-void encode_cancel_answer(const cancel_log_response &answer, wire::peer_message &out) {
-    out.texts[keys::cancels_incarnation] = answer.incarnation;
-    out.numbers[keys::cancels_after] = answer.after_sequence;
-    out.numbers[keys::cancels_upto] = answer.through_sequence;
-    out.numbers[keys::cancels_newest] = answer.newest_sequence;
-    out.numbers[keys::cancels_given_up] = answer.dropped_through_revision;
-    out.numbers[keys::records_loaded] = answer.records_loaded;
-    auto read_age = answer.read_age.value_or(seconds::max());
-    // Rounded up: a read must never pass for a later one.
+void encode_cancel_log_response(const cancel_log_response &response, wire::peer_message &out) {
+    out.texts[keys::cancels_incarnation] = response.incarnation;
+    out.numbers[keys::cancels_after] = response.after_sequence;
+    out.numbers[keys::cancels_upto] = response.through_sequence;
+    out.numbers[keys::cancels_newest] = response.newest_sequence;
+    out.numbers[keys::cancels_given_up] = response.dropped_through_revision;
+    out.numbers[keys::records_loaded] = response.records_loaded;
+    auto read_age = response.read_age.value_or(seconds::max());
+    // Rounded up, so that the receiver never takes the read for a more recent one.
     out.numbers[keys::read_age_ms] =
         static_cast<std::uint64_t>(std::min(longest_read_age_ms, read_age.count() * 1000) + 1);
-    out.cancels = answer.entries;
+    out.cancels = response.entries;
 }
 
 } // namespace
@@ -110,8 +111,8 @@
     if (message.text(keys::role) == values::role_leader)
         request.role = requester_role::leader;
     request.vote_duration = from_milliseconds(message.number(keys::vote_length_ms));
-    if (has_number(message, keys::store_serving))
-        request.store_reachable = message.number(keys::store_serving) != 0;
+    if (has_number(message, keys::store_reachable))
+        request.store_reachable = message.number(keys::store_reachable) != 0;
     if (has_number(message, keys::wants_store_check))
         request.wants_store_check = message.number(keys::wants_store_check) != 0;
     if (message.texts.count(keys::cancels_incarnation))
@@ -121,45 +122,45 @@
     return request;
 }
 
-wire::peer_message encode(const vote_response &answer) {
+wire::peer_message encode(const vote_response &response) {
     wire::peer_message out;
-    if (answer.granted)
-        out.numbers[keys::granted] = *answer.granted;
-    out.numbers[keys::store_serving] = answer.store_reachable;
-    auto heartbeat_age = answer.heartbeat_age.value_or(seconds::max());
+    if (response.granted)
+        out.numbers[keys::granted] = *response.granted;
+    out.numbers[keys::store_reachable] = response.store_reachable;
+    auto heartbeat_age = response.heartbeat_age.value_or(seconds::max());
     out.numbers[keys::heartbeat_age_ms] = static_cast<std::uint64_t>(
         std::min(longest_heartbeat_age_ms, heartbeat_age.count() * 1000));
-    out.texts[keys::vote_holder] = answer.vote_holder;
-    if (answer.cancels)
-        encode_cancel_answer(*answer.cancels, out);
+    out.texts[keys::vote_holder] = response.vote_holder;
+    if (response.cancels)
+        encode_cancel_log_response(*response.cancels, out);
     return out;
 }
 
 vote_response decode_vote_response(const wire::peer_message &message) {
-    vote_response answer;
+    vote_response response;
     if (has_number(message, keys::granted))
-        answer.granted = message.number(keys::granted) != 0;
-    answer.store_reachable = message.number(keys::store_serving) != 0;
+        response.granted = message.number(keys::granted) != 0;
+    response.store_reachable = message.number(keys::store_reachable) != 0;
     if (has_number(message, keys::heartbeat_age_ms))
-        answer.heartbeat_age = from_milliseconds(message.number(keys::heartbeat_age_ms));
-    answer.vote_holder = message.text(keys::vote_holder);
-    return answer;
+        response.heartbeat_age = from_milliseconds(message.number(keys::heartbeat_age_ms));
+    response.vote_holder = message.text(keys::vote_holder);
+    return response;
 }
 
 cancel_log_response decode_cancel_log_response(const wire::peer_message &message) {
-    cancel_log_response answer;
-    answer.incarnation = message.text(keys::cancels_incarnation);
-    answer.after_sequence = message.number(keys::cancels_after);
-    answer.through_sequence = message.number(keys::cancels_upto);
-    answer.newest_sequence = message.number(keys::cancels_newest);
-    // Without this number everything may have been given up.
-    answer.dropped_through_revision =
+    cancel_log_response response;
+    response.incarnation = message.text(keys::cancels_incarnation);
+    response.after_sequence = message.number(keys::cancels_after);
+    response.through_sequence = message.number(keys::cancels_upto);
+    response.newest_sequence = message.number(keys::cancels_newest);
+    // Without this number any entry may have been dropped.
+    response.dropped_through_revision =
         message.number(keys::cancels_given_up, std::numeric_limits<std::uint64_t>::max());
-    answer.records_loaded = message.number(keys::records_loaded) != 0;
-    answer.read_age = from_milliseconds(
+    response.records_loaded = message.number(keys::records_loaded) != 0;
+    response.read_age = from_milliseconds(
         message.number(keys::read_age_ms, static_cast<std::uint64_t>(longest_read_age_ms)));
-    answer.entries = message.cancels;
-    return answer;
+    response.entries = message.cancels;
+    return response;
 }
 
 } // namespace spindlecroft::membership
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -1,5 +1,6 @@
-// A controller that stood still does nothing on waking that it is not entitled to any more: the
-// permission is asked after the last suspension, right before the first byte goes out.
+// A controller process that was suspended must not act on resuming on a lease or votes that have
+// expired meanwhile: the permission is checked after the last suspension point, right before the
+// first byte is sent.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "key_value_stand_in.hpp"
@@ -16,7 +17,8 @@
 
 namespace {
 
-// Another controller, a worker, the cloud or the key-value store: counts what reaches it.
+// Stands in for another controller, a worker, the cloud or the key-value store, and counts the
+// requests it gets.
 struct counting_server {
     net::asio::io_context io;
     settings::address at = test::free_address();
@@ -48,100 +50,102 @@
 
 } // namespace
 
-// Commands to workers, calls to the cloud and messages to controllers go through this client.
+// Commands to workers, calls to the cloud and messages to controllers all use this client.
 TEST(frozen_controller, sends_no_request_once_its_permission_ended_while_connecting) {
-    counting_server s;
-    net::client client(s.io, s.at, 1);
+    counting_server server;
+    net::client client(server.io, server.at, 1);
     bool entitled = true;
-    int asked = 0;
+    int permission_checks = 0;
     auto permitted = [&] {
-        ++asked;
+        ++permission_checks;
         return entitled;
     };
     entitled = false; // it ended while the connection was being made
-    auto r = s.call(client, permitted);
-    EXPECT_EQ(r.how, net::outcome::not_sent);
-    EXPECT_EQ(asked, 1);
-    EXPECT_EQ(s.requests, 0);
+    auto reply = server.call(client, permitted);
+    EXPECT_EQ(reply.how, net::outcome::not_sent);
+    EXPECT_EQ(permission_checks, 1);
+    EXPECT_EQ(server.requests, 0);
     entitled = true;
-    EXPECT_TRUE(s.call(client, permitted).ok());
+    EXPECT_TRUE(server.call(client, permitted).ok());
     entitled = false; // on a kept connection too
-    EXPECT_EQ(s.call(client, permitted).how, net::outcome::not_sent);
-    EXPECT_EQ(s.requests, 1);
+    EXPECT_EQ(server.call(client, permitted).how, net::outcome::not_sent);
+    EXPECT_EQ(server.requests, 1);
 }
 
-TEST(frozen_controller, sends_the_state_service_no_transaction) {
-    counting_server s;
-    s.answer = R"({"ledger":7})";
-    auto conf = test::small_settings();
-    conf.state = s.at;
-    store::key_value_client state(s.io, conf);
+TEST(frozen_controller, sends_no_transaction_once_its_permission_ended) {
+    counting_server server;
+    server.answer = R"({"ledger":7})";
+    auto settings = test::small_settings();
+    settings.state = server.at;
+    store::key_value_client store_client(server.io, settings);
     bool entitled = true;
     auto commit = [&] {
         std::vector<txn_op> ops{{"p/1", "[1]", 0}};
         store::transaction_result out;
         bool done = false;
         auto send = [&]() -> awaitable<void> {
-            out = co_await state.commit({}, ops, store::request_priority::placement,
-                                        [&] { return entitled; });
+            out = co_await store_client.commit({}, ops, store::request_priority::placement,
+                                               [&] { return entitled; });
             done = true;
         };
-        net::spawn(s.io, send(), "commit");
+        net::spawn(server.io, send(), "commit");
         while (!done)
-            s.io.run_one_for(100ms);
+            server.io.run_one_for(100ms);
         return out.outcome;
     };
     EXPECT_EQ(commit(), store::transaction_outcome::committed);
     entitled = false;
     EXPECT_EQ(commit(), store::transaction_outcome::refused);
-    EXPECT_EQ(s.requests, 1);
+    EXPECT_EQ(server.requests, 1);
 }
 
-TEST(frozen_controller, gives_up_what_waited_to_be_written) {
+TEST(frozen_controller, drops_the_queued_writes_once_its_leadership_ended) {
     net::asio::io_context io;
-    auto conf = test::small_settings();
-    test::state_stand_in state(io, conf);
-    store::committer commits(io, state, conf, "test");
-    std::uint64_t token = state.apply({}, {{"leader", "{}", 0}}).revision;
+    auto settings = test::small_settings();
+    test::state_stand_in store_client(io, settings);
+    store::committer commits(io, store_client, settings, "test");
+    std::uint64_t token = store_client.apply({}, {{"leader", "{}", 0}}).revision;
     bool leading = true;
     commits.fence = [&]() -> std::optional<txn_condition> {
         if (!leading)
             return std::nullopt;
         return txn_condition{"leader", token};
     };
-    state.stand_still = [&] { leading = false; };
-    std::vector<store::write_outcome> told;
-    store::write_unit u;
-    u.owned = true;
-    u.ops = {{"p/1", "[1]", 0}};
-    u.on_outcome = [&](store::write_outcome how, std::uint64_t) { told.push_back(how); };
-    commits.submit(std::move(u));
+    store_client.stand_still = [&] { leading = false; };
+    std::vector<store::write_outcome> outcomes;
+    store::write_unit unit;
+    unit.owned = true;
+    unit.ops = {{"p/1", "[1]", 0}};
+    unit.on_outcome = [&](store::write_outcome outcome, std::uint64_t) {
+        outcomes.push_back(outcome);
+    };
+    commits.submit(std::move(unit));
     net::spawn(io, commits.run(), "commits");
     auto limit = net::steady_now() + 5s;
-    while (told.empty() && net::steady_now() < limit)
+    while (outcomes.empty() && net::steady_now() < limit)
         io.run_one_for(50ms);
-    ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0], store::write_outcome::lost);
-    EXPECT_EQ(state.commits, 0u);
+    ASSERT_EQ(outcomes.size(), 1u);
+    EXPECT_EQ(outcomes[0], store::write_outcome::lost);
+    EXPECT_EQ(store_client.commits, 0u);
     commits.stop();
     io.run_for(100ms);
 }
 
-// Between the decision to take the leader key and the transaction its votes ran out: the key stays
-// as it is, and only a new candidacy takes it.
-TEST(frozen_controller, takes_no_leader_key_after_its_votes_ended) {
+// The votes expire between the decision to take the leader key and the transaction: the transaction
+// must not be sent, and only a new candidacy takes the key.
+TEST(frozen_controller, takes_no_leader_key_after_its_votes_expired) {
     net::asio::io_context io;
-    auto conf = test::small_settings();
-    test::state_stand_in state(io, conf);
-    membership::member member(io, conf, state);
+    auto settings = test::small_settings();
+    test::state_stand_in store_client(io, settings);
+    membership::member member(io, settings, store_client);
     member.get_records_status = [] { return membership::member::records_status{}; };
     int stood_still = 0;
     std::size_t commits_after = 1;
-    state.stand_still = [&] {
+    store_client.stand_still = [&] {
         if (stood_still++ == 0)
             std::this_thread::sleep_for(constants::candidacy + 200ms);
         else
-            commits_after = state.commits;
+            commits_after = store_client.commits;
     };
     net::spawn(io, member.run(), "membership");
     auto limit = net::steady_now() + 10s;
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -1,4 +1,4 @@
-// The typed messages between controllers against bytes that the version in production wrote.
+// Tests of the messages between controllers against bytes that the version in production wrote.
 #include "membership/peer_messages.hpp"
 #include <fstream>
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// Guards against a field that is lost or renamed between the typed messages and the wire.
+// A field must not be lost or renamed between the typed messages and the wire.
 TEST(peer_messages, encode_to_the_recorded_bytes) {
     for (auto *name : {"promise_question", "release"}) {
         auto bytes = recorded_message(name);
@@ -30,18 +30,18 @@
     }
     auto bytes = recorded_message("promise_answer");
     auto message = wire::parse_peer(bytes);
-    auto answer = membership::decode_vote_response(message);
-    answer.cancels = membership::decode_cancel_log_response(message);
-    // The age of the read is rounded up by one more millisecond each time that it is sent.
-    answer.cancels->read_age = *answer.cancels->read_age - 1ms;
-    EXPECT_EQ(wire::encode_peer(membership::encode(answer)), bytes);
+    auto response = membership::decode_vote_response(message);
+    response.cancels = membership::decode_cancel_log_response(message);
+    // Each encoding rounds the age of the read up by one more millisecond.
+    response.cancels->read_age = *response.cancels->read_age - 1ms;
+    EXPECT_EQ(wire::encode_peer(membership::encode(response)), bytes);
 }
 
-TEST(peer_messages, what_an_answer_leaves_out_is_taken_for_the_worst) {
-    auto answer = membership::decode_vote_response({});
-    EXPECT_EQ(answer.granted, std::nullopt);
-    EXPECT_FALSE(answer.store_reachable);
-    EXPECT_EQ(answer.heartbeat_age, std::nullopt);
+TEST(peer_messages, missing_response_fields_get_the_worst_case_defaults) {
+    auto response = membership::decode_vote_response({});
+    EXPECT_EQ(response.granted, std::nullopt);
+    EXPECT_FALSE(response.store_reachable);
+    EXPECT_EQ(response.heartbeat_age, std::nullopt);
     auto cancels = membership::decode_cancel_log_response({});
     EXPECT_FALSE(cancels.records_loaded);
     EXPECT_EQ(cancels.dropped_through_revision, ~std::uint64_t{0});
