--- a/src/control/cloud_client.cpp
+++ b/src/control/cloud_client.cpp
@@ -15,15 +15,15 @@
     : client_(io, settings.cloud, c::pool_idle),
       budget_(c::cloud_share * settings.cloud_rps, c::cloud_burst) {}
 
-net::awaitable<net::reply> cloud_client::call(std::shared_ptr<leadership> by, std::string method,
+net::awaitable<net::reply> cloud_client::call(std::shared_ptr<leadership> term, std::string method,
                                               std::string target, std::string body) {
     while (!budget_.take(1, store::request_priority::leadership, net::steady_now()))
         co_await net::sleep_for(c::budget_poll);
-    // Guards against a leader that stood still, or waited for the cloud's limit, and is none any
-    // more: it would delete machines that the next one uses.
-    if (!by->may_act())
+    // A leader that was suspended, or waited for the rate limit, may have lost its leadership
+    // meanwhile; it would delete machines that the next leader uses.
+    if (!term->may_act())
         co_return net::reply{};
-    net::permission permitted = [by] { return by->may_act(); };
+    net::permission permitted = [term] { return term->may_act(); };
     auto reply = co_await client_.call(std::move(method), std::move(target), std::move(body),
                                        c::cloud_timeout, false, std::move(permitted));
     if (reply.how == net::outcome::answered && reply.status == too_many_requests)
--- a/src/control/cloud_client.hpp
+++ b/src/control/cloud_client.hpp
@@ -1,4 +1,5 @@
-// The leader's calls to the cloud: paced below the cloud's limit, and sent only while it may act.
+// The leader's calls to the cloud's API, paced below its rate limit and sent only while the
+// leadership may act.
 #pragma once
 #include "control/leadership.hpp"
 #include "net/http.hpp"
@@ -9,11 +10,13 @@
 
 namespace spindlecroft::control {
 
+/// Client of the cloud's API.
 class cloud_client {
   public:
     cloud_client(net::asio::io_context &io, const settings::settings &settings);
-    // Waits for its turn. A call that the leadership may not make any more counts as not sent.
-    net::awaitable<net::reply> call(std::shared_ptr<leadership> by, std::string method,
+    /// Makes a call once the request budget allows it. A call is reported as not sent if the
+    /// leadership may no longer act when its turn comes.
+    net::awaitable<net::reply> call(std::shared_ptr<leadership> term, std::string method,
                                     std::string target, std::string body);
 
   private:
--- a/src/control/cloud_operations.cpp
+++ b/src/control/cloud_operations.cpp
@@ -13,55 +13,57 @@
 constexpr int malformed_request = 400;
 constexpr int unavailable = 503;
 
-// No machine was rented, and none will be for this request.
-bool refused(const net::reply &reply) {
+// Whether the cloud refused the request: no machine was rented, and none will be for it.
+bool is_refused(const net::reply &reply) {
     if (reply.how != net::outcome::answered)
         return false;
-    bool no_capacity =
+    bool lacks_capacity =
         reply.status == unavailable && reply.body.find("capacity") != std::string::npos;
-    return reply.status == malformed_request || no_capacity;
+    return reply.status == malformed_request || lacks_capacity;
 }
 
-void tell_outcome(scheduler &core, const rental_request &wanted, const net::reply &reply) {
+void apply_rental_outcome(scheduler &scheduler, const rental_request &request,
+                          const net::reply &reply) {
     try {
         if (reply.ok())
-            core.on_rented(wanted.request, wire::parse_rented_machines(reply.body), steady_now());
-        else if (refused(reply))
-            core.on_rent_refused(wanted.request, steady_now());
+            scheduler.on_rented(request.request, wire::parse_rented_machines(reply.body),
+                                steady_now());
+        else if (is_refused(reply))
+            scheduler.on_rent_refused(request.request, steady_now());
         else
-            core.on_rent_outcome_unknown(wanted.request, steady_now());
+            scheduler.on_rent_outcome_unknown(request.request, steady_now());
     } catch (const wire::malformed_message &error) {
-        spdlog::warn("renting: {}", error.what());
-        core.on_rent_outcome_unknown(wanted.request, steady_now());
+        spdlog::warn("malformed response to a rental request: {}", error.what());
+        scheduler.on_rent_outcome_unknown(request.request, steady_now());
     }
 }
 
 } // namespace
 
-awaitable<void> cloud_operations::run_polling(std::shared_ptr<leadership> by) {
-    auto next_types = steady_now() + c::types_refresh;
-    while (by->may_act()) {
-        auto asked = steady_now();
-        auto machines = co_await list_machines(by);
-        if (machines && by->may_act()) {
-            by->active_scheduler()->on_machine_list(*machines, asked, steady_now());
-            by->work_available.notify();
+awaitable<void> cloud_operations::run_polling(std::shared_ptr<leadership> term) {
+    auto next_types_refresh = steady_now() + c::types_refresh;
+    while (term->may_act()) {
+        auto requested_at = steady_now();
+        auto machines = co_await list_machines(term);
+        if (machines && term->may_act()) {
+            term->active_scheduler()->on_machine_list(*machines, requested_at, steady_now());
+            term->work_available.notify();
         }
-        if (steady_now() > next_types) {
-            next_types = steady_now() + c::types_refresh;
-            co_await refresh_types(by);
+        if (steady_now() > next_types_refresh) {
+            next_types_refresh = steady_now() + c::types_refresh;
+            co_await refresh_types(term);
         }
         co_await net::sleep_for(c::machine_list_poll);
     }
 }
 
 awaitable<std::optional<std::vector<listed_machine>>>
-cloud_operations::list_machines(std::shared_ptr<leadership> by) {
+cloud_operations::list_machines(std::shared_ptr<leadership> term) {
     std::vector<listed_machine> machines;
     std::string after;
-    while (by->may_act()) {
+    while (term->may_act()) {
         auto target = wire::machine_list_target(after, c::listed_machine_page);
-        auto reply = co_await cloud_.call(by, "GET", target, "");
+        auto reply = co_await cloud_.call(term, "GET", target, "");
         if (!reply.ok())
             co_return std::nullopt;
         try {
@@ -71,52 +73,52 @@
                 co_return machines;
             after = page.hosts.back().id;
         } catch (const wire::malformed_message &error) {
-            spdlog::warn("machine list: {}", error.what());
+            spdlog::warn("malformed machine list from the cloud: {}", error.what());
             co_return std::nullopt;
         }
     }
     co_return std::nullopt;
 }
 
-awaitable<void> cloud_operations::refresh_types(std::shared_ptr<leadership> by) {
-    auto reply = co_await cloud_.call(by, "GET", wire::path_machine_types, "");
-    if (!reply.ok() || !by->may_act())
+awaitable<void> cloud_operations::refresh_types(std::shared_ptr<leadership> term) {
+    auto reply = co_await cloud_.call(term, "GET", wire::path_machine_types, "");
+    if (!reply.ok() || !term->may_act())
         co_return;
     try {
         auto types = wire::parse_machine_types(reply.body);
         if (!types.empty())
-            by->active_scheduler()->set_machine_types(std::move(types));
+            term->active_scheduler()->set_machine_types(std::move(types));
     } catch (const wire::malformed_message &error) {
-        spdlog::warn("machine types: {}", error.what());
+        spdlog::warn("malformed machine types from the cloud: {}", error.what());
     }
 }
 
-awaitable<void> cloud_operations::rent_machines(std::shared_ptr<leadership> by,
-                                                rental_request wanted) {
-    if (!by->may_act())
+awaitable<void> cloud_operations::rent_machines(std::shared_ptr<leadership> term,
+                                                rental_request request) {
+    if (!term->may_act())
         co_return;
-    auto reply =
-        co_await cloud_.call(by, "POST", wire::path_machines, wire::encode_rental_request(wanted));
-    if (!by->may_act())
+    auto reply = co_await cloud_.call(term, "POST", wire::path_machines,
+                                      wire::encode_rental_request(request));
+    if (!term->may_act())
         co_return;
-    tell_outcome(*by->active_scheduler(), wanted, reply);
-    by->work_available.notify();
+    apply_rental_outcome(*term->active_scheduler(), request, reply);
+    term->work_available.notify();
 }
 
-awaitable<void> cloud_operations::delete_machines(std::shared_ptr<leadership> by,
+awaitable<void> cloud_operations::delete_machines(std::shared_ptr<leadership> term,
                                                   std::vector<std::string> names) {
-    auto reply =
-        co_await cloud_.call(by, "POST", wire::path_delete_machines, wire::encode_deletion(names));
+    auto reply = co_await cloud_.call(term, "POST", wire::path_delete_machines,
+                                      wire::encode_deletion(names));
     if (!reply.ok())
         co_await net::sleep_for(c::delete_retry);
-    auto *core = by->scheduler_unless_ended();
-    if (!core)
+    auto *scheduler = term->scheduler_unless_ended();
+    if (!scheduler)
         co_return;
     if (reply.ok())
-        core->on_deleted(names, steady_now());
+        scheduler->on_deleted(names, steady_now());
     else
-        core->on_delete_failed(names);
-    by->work_available.notify();
+        scheduler->on_delete_failed(names);
+    term->work_available.notify();
 }
 
 } // namespace spindlecroft::control
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -12,43 +12,45 @@
 
 namespace {
 
-constexpr int ok = 200;
-constexpr int stale = 409; // the token is too low, or the incarnation is another one
+constexpr int http_ok = 200;
+// The fencing token is too low, or the agent has another incarnation.
+constexpr int http_conflict = 409;
 
-// Marks a machine as busy as long as it lives.
-class busy_mark {
+// Marks a machine as busy during its lifetime.
+class in_flight_guard {
   public:
-    busy_mark(std::set<std::string> &busy, const std::string &machine)
-        : busy_(busy), machine_(machine), made_(busy.insert(machine).second) {}
-    ~busy_mark() {
-        if (made_)
+    in_flight_guard(std::set<std::string> &busy, const std::string &machine)
+        : busy_(busy), machine_(machine), acquired_(busy.insert(machine).second) {}
+    ~in_flight_guard() {
+        if (acquired_)
             busy_.erase(machine_);
     }
-    busy_mark(const busy_mark &) = delete;
-    busy_mark &operator=(const busy_mark &) = delete;
-    // False: another message to the machine is under way.
-    [[nodiscard]] bool made() const { return made_; }
+    in_flight_guard(const in_flight_guard &) = delete;
+    in_flight_guard &operator=(const in_flight_guard &) = delete;
+    // Returns false if another message to the machine is in flight.
+    [[nodiscard]] bool is_acquired() const { return acquired_; }
 
   private:
     std::set<std::string> &busy_;
     const std::string &machine_;
-    bool made_;
+    bool acquired_;
 };
 
 bool has_start(const std::vector<command> &commands) {
     return std::any_of(commands.begin(), commands.end(),
-                       [](const command &each) { return each.kind == command_kind::start; });
+                       [](const command &entry) { return entry.kind == command_kind::start; });
 }
 
-// The machine's own heartbeat in the answer to a direct command.
+// Returns the worker's heartbeat from the response to a direct command.
 std::optional<heartbeat> heartbeat_in(const net::reply &reply, const std::string &machine) {
-    bool answered = reply.how == net::outcome::answered;
-    if (!answered || (reply.status != ok && reply.status != stale))
+    bool is_answered = reply.how == net::outcome::answered;
+    if (!is_answered || (reply.status != http_ok && reply.status != http_conflict))
         return std::nullopt;
     try {
         return wire::parse_heartbeat(reply.body);
     } catch (const wire::malformed_message &error) {
-        spdlog::warn("{}: {}", machine, error.what());
+        spdlog::warn("malformed response to a direct command from machine {}: {}", machine,
+                     error.what());
         return std::nullopt;
     }
 }
@@ -59,15 +61,15 @@
     return may_renew_leases(member_, settings_, steady_now());
 }
 
-// Guards against a start that waits for a whole heartbeat interval: what became urgent while a
-// command to the same machine is under way goes after it.
+// A machine that becomes urgent while a message to it is in flight stays marked, so that its start
+// commands follow that message and don't wait for a whole heartbeat interval.
 void command_sender::send_urgent_commands() {
-    auto &core = *term_->active_scheduler();
-    for (auto &machine : core.take_urgent_machines()) {
+    auto &scheduler = *term_->active_scheduler();
+    for (auto &machine : scheduler.take_urgent_machines()) {
         if (busy_.contains(machine) || busy_.size() >= max_connections_)
-            core.requeue_urgent_machine(machine);
+            scheduler.requeue_urgent_machine(machine);
         else
-            net::spawn(io_, send(shared_from_this(), machine), "command");
+            net::spawn(io_, send(shared_from_this(), machine), "direct command");
     }
 }
 
@@ -80,81 +82,83 @@
 
 std::optional<command_sender::direct_message>
 command_sender::compose(const std::string &machine) const {
-    auto &core = *term_->active_scheduler();
-    const auto *known = core.find_machine(machine);
-    if (!known || known->address.empty() || !term_->may_act())
+    auto &scheduler = *term_->active_scheduler();
+    const auto *target = scheduler.find_machine(machine);
+    if (!target || target->address.empty() || !term_->may_act())
         return std::nullopt;
-    direct_message what;
-    what.machine = machine;
-    what.address = known->address;
-    what.incarnation = known->incarnation;
-    what.commands = core.direct_commands_for(machine, steady_now(), may_renew());
-    if (what.commands.empty())
+    direct_message message;
+    message.machine = machine;
+    message.address = target->address;
+    message.incarnation = target->incarnation;
+    message.commands = scheduler.direct_commands_for(machine, steady_now(), may_renew());
+    if (message.commands.empty())
         return std::nullopt;
-    what.token = member_.token();
-    what.has_start = has_start(what.commands);
-    return what;
+    message.token = member_.token();
+    message.has_start = has_start(message.commands);
+    return message;
 }
 
-std::shared_ptr<net::client> command_sender::client_for(const direct_message &what) {
-    auto &client = clients_[what.address];
+std::shared_ptr<net::client> command_sender::client_for(const direct_message &message) {
+    auto &client = clients_[message.address];
     if (client)
         return client;
     try {
-        client =
-            std::make_shared<net::client>(io_, settings::parse_address(what.address, "address"), 1);
+        client = std::make_shared<net::client>(
+            io_, settings::parse_address(message.address, "address"), 1);
         return client;
     } catch (const settings::settings_error &error) {
-        spdlog::warn("{}: {}", what.machine, error.what());
-        clients_.erase(what.address);
+        spdlog::warn("invalid address of machine {}: {}", message.machine, error.what());
+        clients_.erase(message.address);
         return nullptr;
     }
 }
 
 awaitable<void> command_sender::send(std::shared_ptr<command_sender> self, std::string machine) {
-    auto &by = *self->term_;
-    busy_mark mark(busy_, machine);
-    if (!mark.made())
+    auto &term = *self->term_;
+    in_flight_guard guard(busy_, machine);
+    if (!guard.is_acquired())
         co_return;
-    auto what = compose(machine);
-    if (!what)
+    auto message = compose(machine);
+    if (!message)
         co_return;
-    ++by.commands_sent;
-    auto client = client_for(*what);
+    ++term.commands_sent;
+    auto client = client_for(*message);
     if (!client) {
-        if (what->has_start)
-            by.active_scheduler()->command_resolved(machine);
+        if (message->has_start)
+            term.active_scheduler()->command_resolved(machine);
         co_return;
     }
-    // Guards against a start that is sent after its job was cancelled, or by a leader that stood
-    // still while it connected.
-    net::permission permitted = [this, &by, &what] {
-        if (!by.may_act())
+    // Prevents a start command from being sent after its job was cancelled, or by a leader that was
+    // suspended while it connected.
+    net::permission permitted = [this, &term, &message] {
+        if (!term.may_act())
             return false;
-        return !what->has_start ||
-               (may_renew() && by.active_scheduler()->starts_still_wanted(what->commands));
+        return !message->has_start ||
+               (may_renew() && term.active_scheduler()->starts_still_wanted(message->commands));
     };
-    auto body = wire::encode_direct_commands(what->token, what->incarnation, what->commands);
+    auto body =
+        wire::encode_direct_commands(message->token, message->incarnation, message->commands);
     auto reply = co_await client->call("POST", wire::path_commands, std::move(body),
                                        c::worker_timeout, false, std::move(permitted));
-    // Guards against commands to a large fleet that use up the sockets its heartbeats need.
+    // Closes the connection beyond the limit: commands to a large fleet would use up the sockets
+    // that its heartbeats need.
     if (clients_.size() > max_connections_ && client.use_count() == 2)
-        clients_.erase(what->address);
-    handle_reply(*what, reply);
+        clients_.erase(message->address);
+    handle_reply(*message, reply);
 }
 
-void command_sender::handle_reply(const direct_message &what, const net::reply &reply) const {
-    auto *core = term_->scheduler_unless_ended();
-    if (!core)
+void command_sender::handle_reply(const direct_message &message, const net::reply &reply) const {
+    auto *scheduler = term_->scheduler_unless_ended();
+    if (!scheduler)
         return;
-    auto shown = heartbeat_in(reply, what.machine);
-    bool settled = shown || reply.how == net::outcome::not_sent;
-    if (what.has_start && settled)
-        core->command_resolved(what.machine);
-    else if (what.has_start)
-        core->command_unresolved(what.machine, what.token, what.incarnation);
-    if (shown && shown->machine == what.machine)
-        core->on_heartbeat(*shown, steady_now(), true);
+    auto received = heartbeat_in(reply, message.machine);
+    bool is_resolved = received || reply.how == net::outcome::not_sent;
+    if (message.has_start && is_resolved)
+        scheduler->command_resolved(message.machine);
+    else if (message.has_start)
+        scheduler->command_unresolved(message.machine, message.token, message.incarnation);
+    if (received && received->machine == message.machine)
+        scheduler->on_heartbeat(*received, steady_now(), true);
     term_->work_available.notify();
 }
 
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -19,7 +19,7 @@
     case write_kind::rental:
         return request_priority::placement;
     case write_kind::job_end:
-        return request_priority::accept; // users wait for it
+        return request_priority::accept; // users wait for the end of the job
     case write_kind::done:
     case write_kind::cleanup:
     case write_kind::suspects:
@@ -28,8 +28,8 @@
     return request_priority::background;
 }
 
-// Whether the change records what has ended, which may wait.
-bool is_ending(const durable_write &write) {
+// Whether the change records the end of tasks or jobs, which can wait.
+bool is_completion(const durable_write &write) {
     const auto &key = write.ops.front().key;
     return key.starts_with(store::keys::jobs_prefix) ||
            key.starts_with(store::keys::done_tasks_prefix) || write.kind == write_kind::suspects;
@@ -37,31 +37,33 @@
 
 } // namespace
 
-control_loop::control_loop(components with, std::shared_ptr<leadership> by)
-    : components_(with), term_(std::move(by)),
-      commands_(std::make_shared<command_sender>(with.io, term_, with.member, with.settings,
-                                                 with.command_sockets)),
+control_loop::control_loop(components components, std::shared_ptr<leadership> term)
+    : components_(components), term_(std::move(term)),
+      commands_(std::make_shared<command_sender>(components.io, term_, components.member,
+                                                 components.settings, components.command_sockets)),
       next_summary_(steady_now() + c::summary_gap) {}
 
 awaitable<void> control_loop::run() {
     while (term_->may_act()) {
         auto now = steady_now();
         run_round(now);
-        // Guards against rounds that follow one another while heartbeats wait for their answers.
-        auto pause = std::max(c::control_loop_pause, c::control_loop_rest * (steady_now() - now));
-        co_await net::sleep_for(pause);
+        // Leaves the event loop time to answer heartbeats between two rounds.
+        auto round_pause =
+            std::max(c::control_loop_pause, c::control_loop_rest * (steady_now() - now));
+        co_await net::sleep_for(round_pause);
         co_await term_->work_available.wait_for(c::control_loop_idle);
     }
-    // Entitlement lapsed without a word: leave nothing running on old knowledge.
+    // The authority expired without an explicit end of the leadership: step down, so that nothing
+    // acts on outdated state.
     if (!term_->ended() && !components_.member.is_leading())
-        components_.member.step_down("not entitled any more");
+        components_.member.step_down("its authority has expired");
 }
 
 void control_loop::run_round(time_point now) {
-    auto &core = *term_->active_scheduler();
-    apply_predecessor_ends(core, components_.jobs, now);
-    core.set_store_write_rate(components_.store.write_limit());
-    core.tick(now);
+    auto &scheduler = *term_->active_scheduler();
+    apply_predecessor_ends(scheduler, components_.jobs, now);
+    scheduler.set_store_write_rate(components_.store.write_limit());
+    scheduler.tick(now);
     submit_writes(now);
     start_cloud_calls(now);
     commands_->send_urgent_commands();
@@ -73,10 +75,10 @@
 }
 
 void control_loop::submit_writes(time_point now) {
-    auto most = static_cast<std::size_t>(components_.settings.txn_ops);
-    auto waiting = term_->end_writer.waiting();
-    auto room = waiting < most ? most - waiting : 0;
-    for (const auto &write : term_->active_scheduler()->take_writes(now, room))
+    auto max_ops = static_cast<std::size_t>(components_.settings.txn_ops);
+    auto waiting_writes = term_->completion_writer.waiting();
+    auto free_slots = waiting_writes < max_ops ? max_ops - waiting_writes : 0;
+    for (const auto &write : term_->active_scheduler()->take_writes(now, free_slots))
         submit_write(write);
 }
 
@@ -86,39 +88,42 @@
     change.conditions = write.when;
     change.ops = write.ops;
     change.priority = priority_of(write.kind);
-    change.on_outcome = [by = term_, write](store::write_outcome outcome, std::uint64_t) {
-        auto *core = by->scheduler_unless_ended();
-        if (outcome == store::write_outcome::lost || !core)
+    change.on_outcome = [term = term_, write](store::write_outcome outcome, std::uint64_t) {
+        auto *scheduler = term->scheduler_unless_ended();
+        if (outcome == store::write_outcome::lost || !scheduler)
             return;
         bool committed = outcome == store::write_outcome::committed;
-        core->on_write_completed(write, committed, steady_now());
-        by->work_available.notify();
+        scheduler->on_write_completed(write, committed, steady_now());
+        term->work_available.notify();
     };
-    auto &writer = is_ending(write) ? term_->end_writer : term_->placement_writer;
+    auto &writer = is_completion(write) ? term_->completion_writer : term_->placement_writer;
     writer.submit(std::move(change));
 }
 
 void control_loop::start_cloud_calls(time_point now) {
-    auto &core = *term_->active_scheduler();
-    for (auto &wanted : core.take_rental_requests(now))
-        net::spawn(components_.io, components_.cloud.rent_machines(term_, wanted), "rent");
-    // These look at every machine.
+    auto &scheduler = *term_->active_scheduler();
+    for (auto &request : scheduler.take_rental_requests(now))
+        net::spawn(components_.io, components_.cloud.rent_machines(term_, request),
+                   "rental request");
+    // The operations below iterate over all machines.
     if (now < next_fleet_scan_)
         return;
     next_fleet_scan_ = now + c::check_gap;
-    if (auto names = core.take_deletions(now); !names.empty())
+    if (auto names = scheduler.take_deletions(now); !names.empty())
         net::spawn(components_.io, components_.cloud.delete_machines(term_, std::move(names)),
-                   "delete");
-    if (core.needs_token_raise(now))
+                   "machine deletion");
+    if (scheduler.needs_token_raise(now))
         components_.member.request_token_raise();
 }
 
 void control_loop::log_summary(time_point now) {
     next_summary_ = now + c::summary_gap;
     commands_->close_idle_connections(now);
-    spdlog::info("{}; {} and {} writes waiting; {} reports, {} commands",
+    spdlog::info("{}; {} placement writes and {} completion writes waiting; {} heartbeats "
+                 "received, {} commands sent",
                  term_->active_scheduler()->summary(), term_->placement_writer.waiting(),
-                 term_->end_writer.waiting(), term_->heartbeats_received, term_->commands_sent);
+                 term_->completion_writer.waiting(), term_->heartbeats_received,
+                 term_->commands_sent);
     term_->heartbeats_received = term_->commands_sent = 0;
 }
 
--- a/src/control/control_loop.hpp
+++ b/src/control/control_loop.hpp
@@ -1,4 +1,5 @@
-// Drives the scheduler while this controller leads: gives it the time, carries out its decisions.
+// Drives the scheduler while this controller leads: calls it at intervals and carries out its
+// decisions.
 #pragma once
 #include "catalog/job_cache.hpp"
 #include "control/cloud_operations.hpp"
@@ -9,9 +10,10 @@
 
 namespace spindlecroft::control {
 
+/// The control loop of one leadership.
 class control_loop {
   public:
-    // The parts of the controller that it works with; they outlive it.
+    /// The components of the controller that the loop uses; they outlive it.
     struct components {
         net::asio::io_context &io;
         store::key_value_client &store;
@@ -21,8 +23,8 @@
         const settings::settings &settings;
         std::size_t command_sockets = 0;
     };
-    control_loop(components with, std::shared_ptr<leadership> by);
-    // Runs until the leadership may not act any more.
+    control_loop(components components, std::shared_ptr<leadership> term);
+    /// Runs until the leadership may no longer act.
     net::awaitable<void> run();
 
   private:
@@ -36,7 +38,7 @@
     std::shared_ptr<leadership> term_;
     std::shared_ptr<command_sender> commands_;
     time_point next_summary_;
-    time_point next_fleet_scan_{}; // at what looks at every machine
+    time_point next_fleet_scan_{}; // earliest time of the next check of all machines
 };
 
 } // namespace spindlecroft::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -17,17 +17,17 @@
     return {connections, c::idle_connection, c::slow_request};
 }
 
-response wrong_method(const char *right) {
-    return error_response(405, std::string("use ") + right);
+response wrong_method(const char *allowed_method) {
+    return error_response(405, std::string("use ") + allowed_method);
 }
 
-// The transactions of a leadership; each holds it until the last one is settled.
-awaitable<void> run_placements(std::shared_ptr<leadership> by) {
-    co_await by->placement_writer.run();
+// Run the writers of a leadership; each keeps it alive until its last transaction is complete.
+awaitable<void> run_placement_writer(std::shared_ptr<leadership> term) {
+    co_await term->placement_writer.run();
 }
 
-awaitable<void> run_endings(std::shared_ptr<leadership> by) {
-    co_await by->end_writer.run();
+awaitable<void> run_completion_writer(std::shared_ptr<leadership> term) {
+    co_await term->completion_writer.run();
 }
 
 } // namespace
@@ -87,10 +87,10 @@
     peer_server_.start();
     api_server_.start();
     net::spawn(io_, member_.run(), "membership");
-    net::spawn(io_, jobs_.run_watch(), "watch");
-    net::spawn(io_, jobs_.run_reads(), "reads");
+    net::spawn(io_, jobs_.run_watch(), "job watch");
+    net::spawn(io_, jobs_.run_reads(), "job reads");
     net::spawn(io_, jobs_.run_predecessor_reads(), "predecessor reads");
-    net::spawn(io_, user_writes_.run(), "user commits");
+    net::spawn(io_, user_writes_.run(), "user writer");
     net::spawn(io_, machine_types_.load(), "machine types");
 }
 
@@ -104,13 +104,13 @@
     on_leadership_ended();
 }
 
-// --- leading ---
+// --- leadership ---
 
 void controller::on_elected() {
     on_leadership_ended();
     leadership_ = std::make_shared<leadership>(io_, store_, settings_, member_);
     jobs_.prompt(true);
-    net::spawn(io_, lead(leadership_), "take over");
+    net::spawn(io_, lead(leadership_), "failover");
 }
 
 void controller::on_leadership_ended() {
@@ -121,20 +121,20 @@
     leadership_.reset();
 }
 
-awaitable<void> controller::lead(std::shared_ptr<leadership> by) {
-    failover reading(by, store_, cloud_, jobs_, member_, settings_);
-    if (!co_await reading.run())
+awaitable<void> controller::lead(std::shared_ptr<leadership> term) {
+    failover loading(term, store_, cloud_, jobs_, member_, settings_);
+    if (!co_await loading.run())
         co_return;
-    machine_types_.set_if_unknown(reading.types());
-    net::spawn(io_, run_placements(by), "commits");
-    net::spawn(io_, run_endings(by), "records");
-    net::spawn(io_, cloud_operations_.run_polling(by), "cloud");
+    machine_types_.set_if_unknown(loading.types());
+    net::spawn(io_, run_placement_writer(term), "placement writer");
+    net::spawn(io_, run_completion_writer(term), "completion writer");
+    net::spawn(io_, cloud_operations_.run_polling(term), "cloud polling");
     control_loop loop(
-        {io_, store_, member_, jobs_, cloud_operations_, settings_, sockets_.commands}, by);
+        {io_, store_, member_, jobs_, cloud_operations_, settings_, sockets_.commands}, term);
     co_await loop.run();
 }
 
-// Acted on without the store; what the records will say of the same changes nothing more.
+// Applied without waiting for the job record; the record that follows changes nothing more.
 void controller::apply_cancel(const cancel_notice &notice) {
     if (leadership_ && notice.revision > jobs_.revision())
         leadership_->apply_cancel(notice);
@@ -148,7 +148,7 @@
         if (received.method != "POST")
             co_return wrong_method("POST");
         auto answer = co_await heartbeat_service_.on_heartbeat(std::move(received.body));
-        // Guards against workers that find no socket: beyond the bound each comes anew for its
+        // Leaves sockets for all workers: beyond the limit a worker opens a new connection for each
         // heartbeat.
         answer.close = answer.close || api_server_.crowded();
         co_return answer;
@@ -158,7 +158,7 @@
             co_return wrong_method("GET");
         co_return ready();
     }
-    // Users are shed before workers, whose leases would run out.
+    // Users are rejected before workers, whose leases would otherwise expire.
     if (api_server_.crowded()) {
         auto answer = unavailable_response("too many connections");
         answer.close = true;
@@ -207,8 +207,9 @@
 response controller::ready() const {
     if (!jobs_.loaded() || !machine_types_.get())
         return unavailable_response("starting");
-    // Cut from the store while others are not: they serve better. A controller that hears neither
-    // it nor any other controller can't tell, and is no better.
+    // Reports not ready if the store is unreachable here while it serves another controller, so
+    // that users go there. Without contact to the store and to every other controller this one
+    // can't tell, and reports not ready too.
     if (membership::should_divert_users(store_.silence(steady_now()),
                                         member_.store_reachable_elsewhere(),
                                         member_.is_isolated_for(c::isolated_after)))
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -1,5 +1,5 @@
-// The controller: one process of the control plane. It answers users, workers and the other
-// controllers, and while it leads it runs the scheduler. This class only wires the parts together.
+// The controller: one process of the control plane. It serves users, workers and the other
+// controllers, and runs the scheduler while it leads. This class only connects the components.
 #pragma once
 #include "catalog/job_cache.hpp"
 #include "control/cloud_client.hpp"
@@ -18,12 +18,13 @@
 
 namespace spindlecroft::control {
 
+/// Connects the components of one controller process.
 class controller {
   public:
     controller(net::asio::io_context &io, const settings::settings &settings);
-    // Listens, and starts every long-lived duty.
+    /// Starts listening, and starts every background coroutine.
     void start();
-    // Ends them in order; the event loop may be stopped afterwards.
+    /// Stops them in order; the event loop may be stopped afterwards.
     void stop();
 
   private:
@@ -36,7 +37,7 @@
     void connect_jobs();
     void on_elected();
     void on_leadership_ended();
-    net::awaitable<void> lead(std::shared_ptr<leadership> by);
+    net::awaitable<void> lead(std::shared_ptr<leadership> term);
     void apply_cancel(const cancel_notice &notice);
 
     net::asio::io_context &io_;
@@ -45,7 +46,7 @@
     store::key_value_client store_;
     membership::member member_;
     catalog::job_cache jobs_;
-    std::shared_ptr<leadership> leadership_; // while this controller leads
+    std::shared_ptr<leadership> leadership_; // set while this controller leads
     machine_type_catalog machine_types_;
     task_progress progress_;
     user_writes user_writes_;
--- a/src/control/error_responses.hpp
+++ b/src/control/error_responses.hpp
@@ -1,4 +1,4 @@
-// The answers to users that several parts give.
+// Error responses shared by the services of the API.
 #pragma once
 #include "constants.hpp"
 #include "net/http.hpp"
@@ -7,13 +7,15 @@
 
 namespace spindlecroft::control {
 
-inline net::response error_response(int status, const std::string &what, int retry = 0) {
-    return {status, wire::encode_error(what), retry, false};
+/// Returns an error response. retry_after_s: seconds after which the user should retry; 0: not
+/// said.
+inline net::response error_response(int status, const std::string &message, int retry_after_s = 0) {
+    return {status, wire::encode_error(message), retry_after_s, false};
 }
 
-// 503: can't be decided now, to be asked again.
-inline net::response unavailable_response(const std::string &what) {
-    return error_response(503, what, constants::retry_after_s);
+/// Returns a 503 for a request that can't be decided now; the user should retry.
+inline net::response unavailable_response(const std::string &message) {
+    return error_response(503, message, constants::retry_after_s);
 }
 
 } // namespace spindlecroft::control
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -11,42 +11,42 @@
 
 namespace {
 
-// Guards against a record that can't be read and would leave the cluster without a leader's
-// decisions for good: it is passed over and gives no permission. load(name, value) may throw
-// wire::malformed_message; unreadable() is called then.
+// Loads each record. An unreadable record is skipped and grants no permission; if it failed the
+// whole load, the cluster would be left without a leader permanently. load(name, value) may throw
+// wire::malformed_message; on_unreadable() is called then.
 template <class Load, class Unreadable>
 void load_each(const wire::range_answer &records, store::committer &writer, std::string_view prefix,
-               Load load, Unreadable unreadable) {
+               Load load, Unreadable on_unreadable) {
     for (const auto &record : records.items) {
         writer.set_revision(record.key, record.version);
         try {
             load(record.key.substr(prefix.size()), record.value);
         } catch (const wire::malformed_message &error) {
-            spdlog::error("{}: can't be read: {}", record.key, error.what());
-            unreadable();
+            spdlog::error("skipped unreadable record {}: {}", record.key, error.what());
+            on_unreadable();
         }
     }
 }
 
-constexpr auto nothing_lost = [] {};
+constexpr auto ignore_unreadable = [] {};
 
 } // namespace
 
 awaitable<bool> failover::run() {
-    auto began = steady_now();
+    auto started_at = steady_now();
     co_await read_types();
     co_await read_records();
     co_await read_jobs();
     if (!term_->may_act())
         co_return false;
-    auto made = std::make_unique<scheduler>(settings_, types_);
+    auto new_scheduler = std::make_unique<scheduler>(settings_, types_);
     auto now = steady_now();
-    made->begin(now, member_.token(), wall_clock{now, net::wall_now()});
-    load(*made, now);
+    new_scheduler->begin(now, member_.token(), wall_clock{now, net::wall_now()});
+    load(*new_scheduler, now);
     term_->drop_cancels_through(jobs_.revision());
     store_types();
-    term_->activate(std::move(made), now);
-    spdlog::info("took over in {:.2f} s: {}", (steady_now() - began).count(),
+    term_->activate(std::move(new_scheduler), now);
+    spdlog::info("failover completed in {:.2f} s: {}", (steady_now() - started_at).count(),
                  term_->active_scheduler()->summary());
     co_return true;
 }
@@ -68,7 +68,8 @@
         try {
             types_ = wire::parse_machine_types(stored->item.value);
         } catch (const wire::malformed_message &error) {
-            spdlog::error("{}: can't be read: {}", store::keys::machine_types, error.what());
+            spdlog::error("ignored unreadable machine types in record {}: {}",
+                          store::keys::machine_types, error.what());
             types_unreadable_ = true;
         }
     }
@@ -83,7 +84,7 @@
     try {
         types_ = wire::parse_machine_types(reply.body);
     } catch (const wire::malformed_message &error) {
-        spdlog::error("machine types: {}", error.what());
+        spdlog::error("malformed machine types from the cloud: {}", error.what());
     }
 }
 
@@ -112,37 +113,37 @@
         read = co_await jobs_.catch_up(c::failover_read);
 }
 
-void failover::load(scheduler &into, time_point now) {
+void failover::load(scheduler &target, time_point now) {
     for (const auto &[id, job] : jobs_.all())
-        into.load_job(id, job.record, job.revision, now);
-    load_records(into, now);
-    apply_predecessor_ends(into, jobs_, now);
-    into.finish_loading(now);
+        target.load_job(id, job.record, job.revision, now);
+    load_records(target, now);
+    apply_predecessor_ends(target, jobs_, now);
+    target.finish_loading(now);
 }
 
-void failover::load_records(scheduler &into, time_point now) {
+void failover::load_records(scheduler &target, time_point now) {
     auto load_done = [&](const std::string &name, const std::string &value) {
-        into.load_done(name, wire::parse_done(value));
+        target.load_done(name, wire::parse_done(value));
     };
     auto load_placements = [&](const std::string &name, const std::string &value) {
-        into.load_placements(name, wire::parse_placed(value), now);
+        target.load_placements(name, wire::parse_placed(value), now);
     };
     auto load_rentals = [&](const std::string &name, const std::string &value) {
-        into.load_rental(name, wire::parse_rental_record(value), now);
+        target.load_rental(name, wire::parse_rental_record(value), now);
     };
     auto load_suspects = [&](const std::string &, const std::string &value) {
-        into.load_suspects(wire::parse_suspects(value), now);
+        target.load_suspects(wire::parse_suspects(value), now);
     };
-    auto placements_unreadable = [&] { into.load_unreadable_placements(now); };
-    // Tasks of an unreadable done record run again; machines of an unreadable rental record are
-    // used or returned as they appear; suspect jobs are found out again.
-    load_each(*records_.done, term_->end_writer, store::keys::done_tasks_prefix, load_done,
-              nothing_lost);
+    auto on_placements_unreadable = [&] { target.load_unreadable_placements(now); };
+    // Tasks of an unreadable done record run again. Machines of an unreadable rental record are
+    // used or returned as they appear in the machine list. Suspect jobs are detected again.
+    load_each(*records_.done, term_->completion_writer, store::keys::done_tasks_prefix, load_done,
+              ignore_unreadable);
     load_each(*records_.placements, term_->placement_writer, store::keys::placements_prefix,
-              load_placements, placements_unreadable);
+              load_placements, on_placements_unreadable);
     load_each(*records_.rentals, term_->placement_writer, store::keys::rentals_prefix, load_rentals,
-              nothing_lost);
-    load_each(*records_.suspects, term_->end_writer, "", load_suspects, nothing_lost);
+              ignore_unreadable);
+    load_each(*records_.suspects, term_->completion_writer, "", load_suspects, ignore_unreadable);
 }
 
 void failover::store_types() {
@@ -156,10 +157,10 @@
     term_->placement_writer.submit(std::move(change));
 }
 
-void apply_predecessor_ends(scheduler &to, const catalog::job_cache &jobs, time_point now) {
-    for (const auto &id : to.unresolved_predecessors())
+void apply_predecessor_ends(scheduler &scheduler, const catalog::job_cache &jobs, time_point now) {
+    for (const auto &id : scheduler.unresolved_predecessors())
         if (const auto *end = jobs.dependencies().end_of(id))
-            to.on_predecessor_end(id, *end, now);
+            scheduler.on_predecessor_end(id, *end, now);
 }
 
 } // namespace spindlecroft::control
--- a/src/control/heartbeat_service.cpp
+++ b/src/control/heartbeat_service.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The answer within one line; commands that do not fit wait for the next heartbeat.
+// Encodes a response that fits into one line; commands that do not fit wait for the next heartbeat.
 std::string encode_within_line(std::uint64_t token, std::vector<command> commands) {
     auto text = wire::encode_heartbeat_answer(token, commands);
     while (text.size() > c::line_limit - c::line_margin && commands.size() > 1) {
@@ -31,44 +31,45 @@
 
 awaitable<response> heartbeat_service::on_heartbeat(std::string body) {
     member_.on_heartbeat();
-    auto by = get_leadership_();
-    if (!member_.is_leading() || !by)
+    auto term = get_leadership_();
+    if (!member_.is_leading() || !term)
         co_return redirect();
-    // A new leader that is still reading the records has an answer within moments.
+    // A new leader that is still reading the records can usually respond within moments.
     auto limit = steady_now() + c::failover_wait;
-    while (!by->active_scheduler() && steady_now() < limit && by->may_act())
+    while (!term->active_scheduler() && steady_now() < limit && term->may_act())
         co_await net::sleep_for(c::failover_poll);
-    if (!by->active_scheduler() || !by->may_act())
+    if (!term->active_scheduler() || !term->may_act())
         co_return redirect();
     try {
-        co_return respond(by, wire::parse_heartbeat(body));
+        co_return respond(term, wire::parse_heartbeat(body));
     } catch (const wire::malformed_message &malformed) {
-        spdlog::warn("a report was malformed: {}", malformed.what());
+        spdlog::warn("rejected malformed heartbeat: {}", malformed.what());
         co_return error_response(400, malformed.what());
     }
 }
 
-response heartbeat_service::respond(const std::shared_ptr<leadership> &by,
+response heartbeat_service::respond(const std::shared_ptr<leadership> &term,
                                     const heartbeat &received) {
-    auto &core = *by->active_scheduler();
-    ++by->heartbeats_received;
+    auto &scheduler = *term->active_scheduler();
+    ++term->heartbeats_received;
     auto now = steady_now();
-    auto age = core.on_heartbeat(received, now);
-    by->work_available.notify();
+    auto age = scheduler.on_heartbeat(received, now);
+    term->work_available.notify();
     if (age == scheduler::heartbeat_age::dead)
         return unavailable_response("out of date");
-    // Guards against ran_cancelled: where a cancel may have been confirmed that this controller
-    // can't know of, only a machine that holds nothing is answered, and it gets nothing to start.
-    bool may_renew = may_renew_leases(member_, settings_, now);
-    if (!may_renew && !core.has_no_tasks(received))
+    // A task of a cancelled job must not start or keep running. While a cancellation may have been
+    // confirmed that this controller does not know of, only a machine without tasks gets a
+    // response, and no start commands.
+    bool may_renew_now = may_renew_leases(member_, settings_, now);
+    if (!may_renew_now && !scheduler.has_no_tasks(received))
         return redirect();
-    auto commands = core.commands_for_response(received.machine, now, may_renew);
+    auto commands = scheduler.commands_for_response(received.machine, now, may_renew_now);
     auto text = encode_within_line(member_.token(), std::move(commands));
-    // Checked right before the answer: without entitlement it must not renew a lease.
-    bool still_may_renew = !may_renew || may_renew_leases(member_, settings_, steady_now());
-    if (!by->may_act() || !still_may_renew)
+    // Checked again right before the response: it must not renew a lease without permission.
+    bool may_still_renew = !may_renew_now || may_renew_leases(member_, settings_, steady_now());
+    if (!term->may_act() || !may_still_renew)
         return redirect();
-    core.on_response_sent(received.machine, age, steady_now());
+    scheduler.on_response_sent(received.machine, age, steady_now());
     return {200, text, 0, false};
 }
 
--- a/src/control/job_cancellations.cpp
+++ b/src/control/job_cancellations.cpp
@@ -10,7 +10,7 @@
 using net::awaitable;
 using net::response;
 using net::steady_now;
-using lookup = job_lookup::outcome;
+using lookup_result = job_lookup::result;
 
 namespace {
 
@@ -32,17 +32,17 @@
     auto limit = steady_now() + c::user_request;
     while (steady_now() < limit - c::cancel_round) {
         auto found = co_await queries_.find(id);
-        if (found.how == lookup::unavailable)
+        if (found.outcome == lookup_result::unavailable)
             break;
-        if (found.how == lookup::never_existed)
+        if (found.outcome == lookup_result::never_existed)
             co_return error_response(404, "no such job");
         if (is_final(found.status.state))
             co_return accepted(id, found.status.state);
-        const auto *active = jobs_.active(id);
-        if (!active)
+        const auto *active_job = jobs_.active(id);
+        if (!active_job)
             continue;
         auto time_limit = std::max(c::commit_least, limit - steady_now());
-        auto outcome = co_await write_cancel(id, *active, time_limit);
+        auto outcome = co_await write_cancel(id, *active_job, time_limit);
         if (outcome == store::write_outcome::committed)
             co_return accepted(id, job_state::cancelled);
         if (outcome != store::write_outcome::conflict)
@@ -59,8 +59,9 @@
     change.priority = store::request_priority::cancel;
     change.conditions = {{store::keys::active_job(id), job.revision}};
     change.ops = {{store::keys::active_job(id), wire::encode_job_record(record), 0}};
-    // Durable first, then known to whoever may renew leases, then told: also where the answer from
-    // the store comes after the user has gone.
+    // The order is: durable, then in this controller's cancel log, where a leader that renews
+    // leases learns of it, then confirmed to the user. The cancellation is also logged if the
+    // store's response arrives after the user has disconnected.
     change.on_durable = [this, id, at = record.cancelled_at](std::uint64_t revision) {
         on_durable_({id, revision, at});
     };
--- a/src/control/job_queries.cpp
+++ b/src/control/job_queries.cpp
@@ -8,7 +8,7 @@
 using net::awaitable;
 using net::response;
 using net::steady_now;
-using lookup = job_lookup::outcome;
+using lookup_result = job_lookup::result;
 
 namespace {
 
@@ -17,13 +17,13 @@
     status.id = id;
     status.state = record.state;
     status.done = record.done;
-    return {lookup::known, status};
+    return {lookup_result::known, status};
 }
 
 } // namespace
 
-// Guards against a user who stays with a node that can't read: the load balancer moves no open
-// connection, so every question on it would fail while other nodes answer.
+// Closes the user's connection if the store has been silent for long: the load balancer does not
+// move open connections, so every request on it would fail while other controllers respond.
 response job_queries::store_unavailable() const {
     auto answer = unavailable_response("the state service does not answer");
     answer.close = store_.silence(steady_now()) > c::state_timeout;
@@ -31,7 +31,7 @@
 }
 
 awaitable<job_lookup> job_queries::find(std::string id) {
-    // What has ended stays as it ended: no read is needed.
+    // An ended job does not change any more, so no read is needed.
     if (auto ended = jobs_.ended(id))
         co_return ended_status(id, *ended);
     if (!co_await jobs_.catch_up(c::shared_read))
@@ -44,11 +44,12 @@
 }
 
 job_lookup job_queries::active_status(const std::string &id, const catalog::cached_job &job) {
-    job_lookup found{lookup::known, {}};
+    job_lookup found{lookup_result::known, {}};
     auto &status = found.status;
     status.id = id;
-    bool with_predecessor = jobs_.dependencies().of(id) == catalog::standing::cancelled;
-    if (job.record.cancelled || with_predecessor) {
+    bool is_cancelled_with_predecessor =
+        jobs_.dependencies().of(id) == catalog::standing::cancelled;
+    if (job.record.cancelled || is_cancelled_with_predecessor) {
         status.state = job_state::cancelled;
         return found;
     }
@@ -60,22 +61,22 @@
     return found;
 }
 
-// The job is not active as of the shared read.
+// The job was not active as of the shared read.
 awaitable<job_lookup> job_queries::find_ended(std::string id) {
     if (auto ended = jobs_.ended(id))
         co_return ended_status(id, *ended);
     if (jobs_.known_absent(id))
-        co_return job_lookup{lookup::never_existed, {}};
+        co_return job_lookup{lookup_result::never_existed, {}};
     auto read = co_await jobs_.read_ended(id);
     if (read.outcome == catalog::lookup::unavailable)
         co_return job_lookup{};
     if (read.outcome == catalog::lookup::found)
         co_return ended_status(id, read.record);
-    // Neither active at the shared read nor ended after it: never accepted then. Unless the watch
-    // has it by now.
+    // Neither active at the shared read nor ended after it, so it was never accepted, unless the
+    // watch has delivered it in the meantime.
     if (jobs_.active(id))
         co_return job_lookup{};
-    co_return job_lookup{lookup::never_existed, {}};
+    co_return job_lookup{lookup_result::never_existed, {}};
 }
 
 awaitable<response> job_queries::on_poll(std::string id) {
@@ -84,12 +85,12 @@
     if (!jobs_.loaded())
         co_return unavailable_response("starting");
     auto found = co_await find(id);
-    switch (found.how) {
-    case lookup::known:
+    switch (found.outcome) {
+    case lookup_result::known:
         co_return response{200, wire::encode_status(found.status), 0, false};
-    case lookup::never_existed:
+    case lookup_result::never_existed:
         co_return error_response(404, "no such job");
-    case lookup::unavailable:
+    case lookup_result::unavailable:
         break;
     }
     co_return store_unavailable();
--- a/src/control/job_queries.hpp
+++ b/src/control/job_queries.hpp
@@ -1,4 +1,4 @@
-// The state of a job as of now, as users are told it.
+// Reads the current state of a job for users.
 #pragma once
 #include "catalog/job_cache.hpp"
 #include "control/task_progress.hpp"
@@ -9,26 +9,29 @@
 
 namespace spindlecroft::control {
 
-// What was found of a job.
+/// Result of looking up a job.
 struct job_lookup {
-    enum class outcome {
-        known,         // the status is that of a moment after the question
-        never_existed, // nobody submitted such a job before the question
+    enum class result {
+        known,         // the status was read after the request arrived
+        never_existed, // no such job was submitted before the request
         unavailable,   // the store could not be read
-    } how = outcome::unavailable;
-    job_status status; // if known
+    } outcome = result::unavailable;
+    job_status status; // set if known
 };
 
+/// Serves the status of jobs.
 class job_queries {
   public:
     job_queries(const store::key_value_client &store, catalog::job_cache &jobs,
                 task_progress &progress)
         : store_(store), jobs_(jobs), progress_(progress) {}
-    // The answer is linearizable: what was durable before the call is in it.
+    /// Looks up a job. The result is linearizable: it includes everything that was durable before
+    /// the call.
     net::awaitable<job_lookup> find(std::string id);
-    // GET of one job.
+    /// Handles a GET of one job.
     net::awaitable<net::response> on_poll(std::string id);
-    // 503 for a question that could not be answered since the store could not be read.
+    /// Returns a 503 response for a request that needs the key-value store, which could not be
+    /// read.
     net::response store_unavailable() const;
 
   private:
--- a/src/control/job_submissions.cpp
+++ b/src/control/job_submissions.cpp
@@ -15,7 +15,7 @@
 namespace c = constants;
 using net::awaitable;
 using net::response;
-using lookup = job_lookup::outcome;
+using lookup_result = job_lookup::result;
 
 namespace {
 
@@ -27,9 +27,9 @@
 
 bool job_submissions::fits_a_machine(const job_spec &spec) const {
     return std::any_of(types_.get()->begin(), types_.get()->end(), [&](const machine_type &type) {
-        bool allowed =
+        bool is_allowed =
             planning::type_allowed(spec, type.name) && (!spec.zone || has_zone(type, *spec.zone));
-        return allowed && bidding::room{type.cpus, type.gpus, type.memory_gb}.fits(spec);
+        return is_allowed && bidding::room{type.cpus, type.gpus, type.memory_gb}.fits(spec);
     });
 }
 
@@ -48,10 +48,10 @@
     return jobs_.active(id) || jobs_.ended(id);
 }
 
-// What is at hand of a predecessor was true at some time, which is enough: that it was accepted,
+// The cached state of a predecessor was true at some time, which is enough: that it was accepted,
 // and that it is done or cancelled, stays true. Only "never accepted" needs a read that began after
-// the request; the query covers active and ended records in an order that a job which ends in
-// between can't slip through.
+// the request; the query reads active and ended records in an order in which a job that ends in
+// between can't be missed.
 awaitable<job_submissions::predecessor> job_submissions::check_predecessor(std::string id) {
     using standing = predecessor::standing;
     std::optional<job_state> state;
@@ -59,9 +59,9 @@
         state = ended->state;
     } else if (!jobs_.active(id)) {
         auto found = co_await queries_.find(id);
-        if (found.how == lookup::unavailable)
+        if (found.outcome == lookup_result::unavailable)
             co_return predecessor{standing::unavailable, ""};
-        if (found.how == lookup::never_existed)
+        if (found.outcome == lookup_result::never_existed)
             co_return predecessor{standing::impossible,
                                   fmt::format("awaits: {} was never accepted", id)};
         state = found.status.state;
@@ -78,8 +78,9 @@
     using standing = predecessor::standing;
     if (job.record.spec.shape == job_shape::service)
         return {standing::impossible, fmt::format("awaits: {} runs until it is cancelled", id)};
-    bool with_predecessor = jobs_.dependencies().of(id) == catalog::standing::cancelled;
-    bool cancelled = job.record.cancelled || with_predecessor;
+    bool is_cancelled_with_predecessor =
+        jobs_.dependencies().of(id) == catalog::standing::cancelled;
+    bool cancelled = job.record.cancelled || is_cancelled_with_predecessor;
     return {cancelled ? standing::cancelled : standing::pending, ""};
 }
 
@@ -89,12 +90,12 @@
     dependency_check out;
     for (auto &id : predecessors) {
         auto checked = co_await check_predecessor(id);
-        switch (checked.how) {
+        switch (checked.state) {
         case standing::unavailable:
-            out.how = dependency_check::verdict::unavailable;
+            out.outcome = dependency_check::verdict::unavailable;
             co_return out;
         case standing::impossible:
-            out.how = dependency_check::verdict::impossible;
+            out.outcome = dependency_check::verdict::impossible;
             out.reason = checked.reason;
             co_return out;
         case standing::cancelled:
@@ -110,8 +111,9 @@
     co_return out;
 }
 
-// Done and cancelled are final, so they are settled here for good: a job that waits for nobody has
-// an ordinary record, and one with a cancelled predecessor is recorded as cancelled.
+// Done and cancelled are final, so they are resolved once at the submission: a job whose
+// predecessors are all done is recorded without predecessors, and one with a cancelled predecessor
+// is recorded as cancelled.
 awaitable<response> job_submissions::on_submit(std::string body) {
     job_spec spec;
     try {
@@ -126,7 +128,7 @@
     record.accepted_at = net::wall_now();
     if (reason.empty() && !is_known(spec.id)) {
         auto checked = co_await check_predecessors(spec.predecessors);
-        if (checked.how == dependency_check::verdict::unavailable)
+        if (checked.outcome == dependency_check::verdict::unavailable)
             co_return queries_.store_unavailable();
         reason = checked.reason;
         record.cancelled = checked.cancelled;
@@ -146,12 +148,13 @@
     co_return co_await accept(std::move(record), std::move(value));
 }
 
-// Guards against forgotten: a job that was accepted is never refused afterwards.
+// A job that was accepted before is never rejected afterwards, even if it would not be accepted
+// now.
 awaitable<response> job_submissions::respond_to_known(std::string id, std::string rejection) {
     auto found = co_await queries_.find(id);
-    if (found.how == lookup::known)
+    if (found.outcome == lookup_result::known)
         co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
-    if (found.how == lookup::unavailable || rejection.empty())
+    if (found.outcome == lookup_result::unavailable || rejection.empty())
         co_return queries_.store_unavailable();
     co_return error_response(422, rejection);
 }
@@ -171,7 +174,7 @@
         co_return error_response(422, "the description is longer than the state service takes");
     if (outcome == store::write_outcome::conflict) {
         auto found = co_await queries_.find(id);
-        if (found.how == lookup::known)
+        if (found.outcome == lookup_result::known)
             co_return response{200, wire::encode_accepted(id, found.status.state), 0, false};
     }
     co_return queries_.store_unavailable();
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -5,9 +5,9 @@
 
 leadership::leadership(net::asio::io_context &io, store::key_value_client &store,
                        const settings::settings &settings, membership::member &member)
-    : placement_writer(io, store, settings, "leader"), end_writer(io, store, settings, "records"),
-      work_available(io), member_(member) {
-    for (auto *writer : {&placement_writer, &end_writer}) {
+    : placement_writer(io, store, settings, "leader"),
+      completion_writer(io, store, settings, "records"), work_available(io), member_(member) {
+    for (auto *writer : {&placement_writer, &completion_writer}) {
         writer->fence = [this]() -> std::optional<txn_condition> {
             if (!may_act())
                 return std::nullopt;
@@ -20,14 +20,14 @@
 void leadership::end() {
     ended_ = true;
     placement_writer.stop();
-    end_writer.stop();
+    completion_writer.stop();
     work_available.notify();
 }
 
-void leadership::activate(std::unique_ptr<scheduler> loaded, time_point now) {
+void leadership::activate(std::unique_ptr<scheduler> new_scheduler, time_point now) {
     for (auto &[job, notice] : cancels_)
-        loaded->on_cancel(notice, now);
-    scheduler_ = std::move(loaded);
+        new_scheduler->on_cancel(notice, now);
+    scheduler_ = std::move(new_scheduler);
 }
 
 void leadership::apply_cancel(const cancel_notice &notice) {
@@ -44,16 +44,16 @@
         return;
     auto now = net::steady_now();
     scheduler_->on_job_record(id, record, revision, now);
-    auto told = cancels_.find(id);
-    if (told != cancels_.end() && revision >= told->second.revision)
-        cancels_.erase(told);
-    else if (told != cancels_.end())
-        scheduler_->on_cancel(told->second, now);
+    auto found = cancels_.find(id);
+    if (found != cancels_.end() && revision >= found->second.revision)
+        cancels_.erase(found);
+    else if (found != cancels_.end())
+        scheduler_->on_cancel(found->second, now);
     work_available.notify();
 }
 
 void leadership::drop_cancels_through(std::uint64_t revision) {
-    std::erase_if(cancels_, [&](const auto &told) { return told.second.revision <= revision; });
+    std::erase_if(cancels_, [&](const auto &entry) { return entry.second.revision <= revision; });
 }
 
 } // namespace spindlecroft::control
--- a/src/control/machine_type_catalog.cpp
+++ b/src/control/machine_type_catalog.cpp
@@ -18,7 +18,7 @@
             try {
                 set_if_unknown(wire::parse_machine_types(stored->item.value));
             } catch (const wire::malformed_message &error) {
-                spdlog::error("machine types: {}", error.what());
+                spdlog::error("malformed stored machine types: {}", error.what());
             }
         }
         if (!types_)
--- a/src/control/machine_type_catalog.hpp
+++ b/src/control/machine_type_catalog.hpp
@@ -1,4 +1,4 @@
-// The machine types as this controller knows them, for deciding whether a submission can ever run.
+// The machine types known to this controller, for deciding whether a submitted job can ever run.
 #pragma once
 #include "net/async.hpp"
 #include "store/key_value_client.hpp"
@@ -7,15 +7,16 @@
 
 namespace spindlecroft::control {
 
+/// Holds the machine types once they are known.
 class machine_type_catalog {
   public:
     explicit machine_type_catalog(store::key_value_client &store) : store_(store) {}
-    // Reads the stored types, again and again until they are known.
+    /// Reads the stored types, retrying until they are known.
     net::awaitable<void> load();
     void stop() { stopping_ = true; }
-    // The first ones that are learned are kept.
+    /// Sets the types unless they are known already.
     void set_if_unknown(std::vector<machine_type> types);
-    // Nothing: not known yet.
+    /// Returns the types; nothing: not known yet.
     const std::optional<std::vector<machine_type>> &get() const { return types_; }
 
   private:
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -41,7 +41,7 @@
     ready_ = true;
     state_.request_planning();
     commands_.begin(now);
-    last_scaling_ = now; // heartbeats come first, renting after
+    last_scaling_ = now; // wait for heartbeats before the first rental
 }
 
 // --- workers ---
@@ -67,23 +67,23 @@
 
 void scheduler::on_rent_refused(const std::string &request, time_point now) {
     if (fleet_.on_rent_refused(request, now))
-        last_scaling_.reset(); // look for another offer at once
+        last_scaling_.reset(); // choose another offer at once
 }
 
 // --- the store ---
 
-// The order is that of urgency: what tasks wait for comes first, what only tidies up last.
-std::vector<durable_write> scheduler::take_writes(time_point now, std::size_t room) {
+// Ordered by urgency: writes that tasks wait for come first, cleanup last.
+std::vector<durable_write> scheduler::take_writes(time_point now, std::size_t max_deferrable) {
     std::vector<durable_write> out;
     if (!ready_)
         return out;
     placements_.take_writes(out, now);
     cleanup_.sweep(placements_, done_records_, now);
     job_ends_.take_writes(out, now);
-    done_records_.take_writes(out, now, room);
+    done_records_.take_writes(out, now, max_deferrable);
     take_rental_writes(out);
     suspect_record_.take_writes(out, now);
-    cleanup_.take_writes(out, room);
+    cleanup_.take_writes(out, max_deferrable);
     return out;
 }
 
@@ -100,10 +100,10 @@
 
 void scheduler::on_rental_written(const durable_write &write, bool committed) {
     using fleet::rental_record_outcome;
-    bool dropped = write.ops.front().value.empty();
+    bool is_deletion = write.ops.front().value.empty();
     auto outcome = rental_record_outcome::failed;
     if (committed)
-        outcome = dropped ? rental_record_outcome::dropped : rental_record_outcome::written;
+        outcome = is_deletion ? rental_record_outcome::dropped : rental_record_outcome::written;
     fleet_.on_record_written(write.rental_round, outcome);
 }
 
@@ -131,15 +131,15 @@
     }
 }
 
-// --- time passes ---
+// --- periodic work ---
 
 void scheduler::tick(time_point now) {
     if (!ready_)
         return;
     if (elapsed(last_check_, c::check_gap, now))
         check(now);
-    bool wanted = state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now);
-    if (wanted || elapsed(last_plan_, c::plan_at_least, now))
+    bool planning_due = state_.planning_wanted() && elapsed(last_plan_, c::plan_gap, now);
+    if (planning_due || elapsed(last_plan_, c::plan_at_least, now))
         plan(now);
     if (elapsed(last_scaling_, c::rent_gap, now))
         scale(now);
@@ -165,7 +165,8 @@
 
 void scheduler::scale(time_point now) {
     last_scaling_ = now;
-    std::vector<planning::bidder> in_use; // copies: what is planned here is no bid
+    // Copies, because the fleet plan must not change the bidders.
+    std::vector<planning::bidder> in_use;
     for (const auto *machine : planner_.bidders().current(now))
         in_use.push_back(*machine);
     fleet_.plan(std::move(in_use), now);
@@ -194,7 +195,7 @@
         running += job.running();
     }
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
-                       "{} queued {} waiting, {} stopped to make room",
+                       "{} queued {} waiting, {} preempted",
                        ready, booting, spot, state_.jobs().size(), attempts, running, queued,
                        waiting, planner_.preempted_tasks());
 }
--- a/src/control/task_progress.cpp
+++ b/src/control/task_progress.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The message holds a number for each job: done tasks in the upper half, running ones in the lower.
-// No job's name has the form of this key.
+// The message has one number for each job: done tasks in the upper 32 bits, running tasks in the
+// lower. No job id has the form of this key.
 constexpr const char *leading_key = ":leading";
 constexpr unsigned done_shift = 32;
 constexpr std::uint64_t running_mask = 0xffffffff;
@@ -27,22 +27,22 @@
 } // namespace
 
 std::optional<scheduler::progress> task_progress::find(const std::string &job) {
-    auto leading = get_leadership_();
-    if (leading && leading->active_scheduler())
-        return leading->active_scheduler()->find_progress(job);
+    auto current_leadership = get_leadership_();
+    if (current_leadership && current_leadership->active_scheduler())
+        return current_leadership->active_scheduler()->find_progress(job);
     if (!query_pending_ && (!last_query_at_ || steady_now() - *last_query_at_ > c::progress_gap))
-        net::spawn(io_, query_leader(), "progress");
+        net::spawn(io_, query_leader(), "progress query");
     auto found = leader_counts_.find(job);
     return found == leader_counts_.end() ? std::nullopt : std::optional(found->second);
 }
 
 wire::peer_message task_progress::make_response() const {
     wire::peer_message out;
-    auto leading = get_leadership_();
-    if (!leading || !leading->active_scheduler() || !member_.is_leading())
+    auto current_leadership = get_leadership_();
+    if (!current_leadership || !current_leadership->active_scheduler() || !member_.is_leading())
         return out;
     out.numbers[leading_key] = 1;
-    for (const auto &[id, job] : leading->active_scheduler()->jobs())
+    for (const auto &[id, job] : current_leadership->active_scheduler()->jobs())
         out.numbers[id] = pack(job.done_count, job.running());
     return out;
 }
@@ -51,9 +51,9 @@
     query_pending_ = true;
     auto *leader = member_.peer_client(member_.leader_hint());
     if (leader) {
-        wire::peer_message question;
-        question.texts["kind"] = "progress";
-        auto reply = co_await leader->call("POST", "/member", wire::encode_peer(question),
+        wire::peer_message request;
+        request.texts["kind"] = "progress";
+        auto reply = co_await leader->call("POST", "/member", wire::encode_peer(request),
                                            c::peer_timeout, true);
         if (reply.ok())
             handle_response(reply.body);
@@ -71,7 +71,7 @@
         for (const auto &[id, counts] : answer.numbers)
             leader_counts_[id] = unpack(counts);
     } catch (const wire::malformed_message &error) {
-        spdlog::warn("progress: {}", error.what());
+        spdlog::warn("malformed progress response from the leader: {}", error.what());
     }
 }
 
--- a/src/control/user_writes.cpp
+++ b/src/control/user_writes.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Shared by the user's coroutine, which may be gone by then, and the committer.
+// Shared by the committer and the user's coroutine, which may have ended when the outcome arrives.
 struct pending_outcome {
     explicit pending_outcome(net::asio::io_context &io) : arrived(io) {}
     net::signal arrived;
@@ -28,7 +28,7 @@
         pending->arrived.notify();
     };
     auto limit = steady_now() + time_limit;
-    change.give_up_at = limit; // its user is told 503 then, and asks again
+    change.give_up_at = limit; // the user gets a 503 response then, and retries
     committer_.submit(std::move(change));
     while (!pending->outcome && steady_now() < limit)
         co_await pending->arrived.wait_for(limit - steady_now());
--- a/src/control/user_writes.hpp
+++ b/src/control/user_writes.hpp
@@ -1,4 +1,4 @@
-// Changes that a user waits for, with the time after which the user is told to ask again.
+// Writes that a user waits for, with a time limit after which the user is asked to retry.
 #pragma once
 #include "net/http.hpp"
 #include "store/committer.hpp"
@@ -6,6 +6,7 @@
 
 namespace spindlecroft::control {
 
+/// Writes the changes that users wait for.
 class user_writes {
   public:
     user_writes(net::asio::io_context &io, store::key_value_client &store,
@@ -13,10 +14,11 @@
         : io_(io), committer_(io, store, settings, "users") {}
     net::awaitable<void> run() { return committer_.run(); }
     void stop() { committer_.stop(); }
-    // So many changes wait that no more are taken.
+    /// Returns whether so many writes are queued that no more are accepted.
     [[nodiscard]] bool full() const { return committer_.full(); }
-    // Nothing: no outcome within the time. The change is not sent any more from then on, but a copy
-    // that was sent may yet be executed; its `on_durable` is called if it was.
+    /// Writes a change. Nothing: no outcome within the time limit. The change is not sent after
+    /// that, but a copy that was sent before may still be executed; its `on_durable` is called if
+    /// it was.
     net::awaitable<std::optional<store::write_outcome>> commit(store::write_unit change,
                                                                seconds time_limit);
 
