--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -42,7 +42,7 @@
     ready_ = true;
     state_.request_planning();
     commands_.begin_term(now);
-    last_scaling_ = now; // heartbeats come first, renting after
+    last_scaling_ = now; // wait for heartbeats before the first rental
 }
 
 // --- workers ---
@@ -68,23 +68,23 @@
 
 void scheduler::on_rent_refused(const std::string &request, time_point now) {
     if (fleet_.on_rent_refused(request, now))
-        last_scaling_.reset(); // look for another offer at once
+        last_scaling_.reset(); // choose another offer at once
 }
 
 // --- the store ---
 
-// The order is that of urgency: what tasks wait for comes first, what only tidies up last.
-std::vector<durable_write> scheduler::take_writes(time_point now, std::size_t room) {
+// Ordered by urgency: writes that tasks wait for come first, cleanup last.
+std::vector<durable_write> scheduler::take_writes(time_point now, std::size_t max_deferrable) {
     std::vector<durable_write> out;
     if (!ready_)
         return out;
     placements_.take_writes(out, now);
     cleanup_.sweep(placements_, done_records_, now);
     job_ends_.take_writes(out, now);
-    done_records_.take_writes(out, now, room);
+    done_records_.take_writes(out, now, max_deferrable);
     take_rental_writes(out);
     suspect_record_.take_writes(out, now);
-    cleanup_.take_writes(out, room);
+    cleanup_.take_writes(out, max_deferrable);
     return out;
 }
 
@@ -101,10 +101,10 @@
 
 void scheduler::on_rental_written(const durable_write &write, bool committed) {
     using fleet::rental_record_outcome;
-    bool dropped = write.ops.front().value.empty();
+    bool is_deletion = write.ops.front().value.empty();
     auto outcome = rental_record_outcome::failed;
     if (committed)
-        outcome = dropped ? rental_record_outcome::dropped : rental_record_outcome::written;
+        outcome = is_deletion ? rental_record_outcome::dropped : rental_record_outcome::written;
     fleet_.on_record_written(write.rental_round, outcome);
 }
 
@@ -132,16 +132,16 @@
     }
 }
 
-// --- time passes ---
+// --- periodic work ---
 
 void scheduler::tick(time_point now) {
     if (!ready_)
         return;
     if (elapsed(last_check_, c::machine_check_interval, now))
         check(now);
-    bool wanted =
+    bool planning_due =
         state_.is_planning_requested() && elapsed(last_plan_, c::min_planning_interval, now);
-    if (wanted || elapsed(last_plan_, c::max_planning_interval, now))
+    if (planning_due || elapsed(last_plan_, c::max_planning_interval, now))
         plan(now);
     if (elapsed(last_scaling_, c::scaling_interval, now))
         scale(now);
@@ -167,7 +167,8 @@
 
 void scheduler::scale(time_point now) {
     last_scaling_ = now;
-    std::vector<planning::bidder> in_use; // copies: what is planned here is no bid
+    // Copies, because the fleet plan must not change the bidders.
+    std::vector<planning::bidder> in_use;
     for (const auto *machine : planner_.bidders().eligible_bidders(now))
         in_use.push_back(*machine);
     fleet_.plan(std::move(in_use), now);
@@ -196,7 +197,7 @@
         running += job.running_tasks();
     }
     return fmt::format("machines {} up {} booting ({} spot), jobs {}, tasks {} placed {} running "
-                       "{} queued {} waiting, {} stopped to make room",
+                       "{} queued {} waiting, {} preempted",
                        ready, booting, spot, state_.jobs().size(), attempts, running, queued,
                        waiting, planner_.preempted_tasks());
 }
