--- a/src/catalog/cancelled_record.cpp
+++ b/src/catalog/cancelled_record.cpp
@@ -2,8 +2,8 @@
 
 namespace spindlecroft::catalog {
 
-// Guards against a cancel that the key-value store refuses for ever: the record may have been
-// written when the service still took larger values.
+// Shortens the record if necessary: it may have been written when the key-value store still
+// accepted larger values, and the store would then reject the cancel every time.
 wire::job_record cancelled_record(wire::job_record record, wall_time cancelled_at,
                                   std::size_t most_bytes) {
     record.cancelled = true;
--- a/src/catalog/cancelled_record.hpp
+++ b/src/catalog/cancelled_record.hpp
@@ -1,12 +1,13 @@
-// The record of a job whose user cancels it.
+// Builds the record of a job that its user cancels.
 #pragma once
 #include "common/time.hpp"
 #include "wire/codec.hpp"
 
 namespace spindlecroft::catalog {
 
-// The job's record with the cancel, in at most most_bytes if that can be had. It waits for nobody
-// any more, and what only says where its tasks may run is left out where room is short.
+// Returns the job's record marked as cancelled, in at most most_bytes (encoded) if possible. The
+// predecessors are removed; fields that only restrict where tasks may run are dropped if the record
+// is too long.
 wire::job_record cancelled_record(wire::job_record record, wall_time cancelled_at,
                                   std::size_t most_bytes);
 
--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -57,7 +57,7 @@
     ends_.clear();
 }
 
-// Iterative, since a chain may be of any length.
+// Iterative, because a chain of dependents may be of any length.
 template <class Time>
 void basic_dependency_graph<Time>::cancel_with_dependents(std::vector<std::string> jobs,
                                                           changes &out) {
--- a/src/catalog/dependency_graph.hpp
+++ b/src/catalog/dependency_graph.hpp
@@ -1,10 +1,10 @@
-// Which jobs wait for which, and what follows from how those ended.
+// The dependency graph of the active jobs.
 //
-// Whether a job is ready or cancelled with a predecessor is a pure function of durable records: its
-// own and those of its predecessors. "Done" and "cancelled" are final and exclude each other, so
-// every controller comes to the same answer, whenever and in whatever order it reads the records.
-// There are no cycles: a job names only jobs that were accepted before it, and its record's list is
-// never extended.
+// Whether a job is ready, or cancelled together with a predecessor, is a pure function of durable
+// records: its own and those of its predecessors. "Done" and "cancelled" are final and mutually
+// exclusive, so every controller computes the same result, regardless of when and in which order it
+// reads the records. The graph is acyclic: a job names only jobs that were accepted before it, and
+// the list in its record is never extended.
 #pragma once
 #include "common/time.hpp"
 #include "wire/types.hpp"
@@ -17,81 +17,83 @@
 
 namespace spindlecroft::catalog {
 
-// How a predecessor ended. An active job whose record says that it is cancelled counts as ended.
+// How and when a predecessor ended. An active job whose record is marked as cancelled counts as
+// ended.
 template <class Time>
 struct basic_predecessor_end {
     job_state state = job_state::done; // done or cancelled
-    std::optional<Time> at;            // nothing: unknown
+    std::optional<Time> at;            // nullopt: unknown
 };
 
+// The status of a job as far as its predecessors determine it.
 enum class dependency_status {
     ready,     // every predecessor is known to be done
-    waiting,   // for a predecessor that is not known to have ended
-    cancelled, // with a predecessor, direct or not
+    waiting,   // some predecessor isn't known to have ended
+    cancelled, // a direct or indirect predecessor was cancelled
 };
 
-// Jobs whose standing changed.
+// Jobs whose dependency status changed.
 struct dependency_changes {
-    std::vector<std::string> ready;     // their last predecessor is done now
-    std::vector<std::string> cancelled; // with a predecessor
+    std::vector<std::string> ready;     // the last predecessor is done now
+    std::vector<std::string> cancelled; // together with a predecessor
 };
 
-// Time: a moment on the clock of whoever notes the ends.
+// Time: the type of time points in which the ends are recorded (steady clock or wall clock).
 template <class Time>
 class basic_dependency_graph {
   public:
     using predecessor_end = basic_predecessor_end<Time>;
     using changes = dependency_changes;
-    // Whether a job has an active record.
+    // Returns whether a job has an active record.
     using is_active_predicate = std::function<bool(const std::string &)>;
 
-    // A job that is active and has predecessors.
+    // An active job with predecessors.
     struct node {
         std::vector<std::string> predecessors;
-        std::size_t unfinished_predecessors = 0; // predecessors that are not known to be done
+        std::size_t unfinished_predecessors = 0; // not known to be done
         bool cancelled = false;
-        Time ready_at{}; // the last known end of a predecessor
+        Time ready_at{}; // the latest known end of a predecessor
     };
 
-    // An active job with predecessors. Adding it again changes nothing. The ends of its
-    // predecessors that the caller knows are to be noted afterwards.
+    // Adds an active job with predecessors; a repeated call has no effect. The caller then calls
+    // note_end() for the predecessors whose ends it knows.
     void add(const std::string &job, const std::vector<std::string> &predecessors);
-    // The job's record is not active any more, or names no predecessors now.
+    // Removes a job whose record is no longer active or no longer names predecessors.
     void remove(const std::string &job);
     void clear();
-    // Notes how a job ended; the first word of it stands. Returns the jobs whose standing changed
-    // with it. What is noted about a job that nobody waits for is not kept.
+    // Records how a job ended, and returns the jobs whose status changes. Only the first call for a
+    // job counts. The end of a job without dependents isn't stored.
     changes note_end(const std::string &predecessor, const predecessor_end &end);
 
-    // The standing of a job. One that is not in the graph is ready.
+    // Returns the status of a job. A job that isn't in the graph is ready.
     [[nodiscard]] dependency_status status_of(const std::string &job) const;
-    // Nothing: the job is not in the graph.
+    // Returns null if the job isn't in the graph.
     [[nodiscard]] const node *find(const std::string &job) const;
     [[nodiscard]] const std::map<std::string, node> &nodes() const { return nodes_; }
-    // The jobs that name this one as a predecessor.
+    // Returns the jobs that name this one as a predecessor.
     [[nodiscard]] const std::set<std::string> &dependents(const std::string &job) const;
-    // Nothing: not known to have ended, or nobody waits for it.
+    // Returns null if the job isn't known to have ended or has no dependents.
     [[nodiscard]] const predecessor_end *end_of(const std::string &predecessor) const;
-    // Predecessors of any job that are neither active nor known to have ended.
+    // Returns the predecessors of any job that are neither active nor known to have ended.
     [[nodiscard]] std::set<std::string> unresolved(const is_active_predicate &active) const;
-    // The same, of one job and of those that it needs through others.
+    // Returns the same for one job and its direct and indirect predecessors.
     [[nodiscard]] std::set<std::string> unresolved_for(const std::string &job,
                                                        const is_active_predicate &active) const;
 
   private:
-    // A predecessor of the job is done.
+    // Counts a predecessor of the job as done.
     static void count_done(node &dependent, const predecessor_end &end);
-    // Marks the jobs and all that need them as cancelled.
+    // Marks the jobs and all their direct and indirect dependents as cancelled.
     void cancel_with_dependents(std::vector<std::string> jobs, changes &out);
     std::map<std::string, node> nodes_;
     std::map<std::string, std::set<std::string>> dependents_; // by predecessor
-    std::map<std::string, predecessor_end> ends_;             // of those with dependents
+    std::map<std::string, predecessor_end> ends_;             // of jobs with dependents
 };
 
-// On this process's steady clock.
+// With times of this process's steady clock.
 using dependency_graph = basic_dependency_graph<time_point>;
 using predecessor_end = basic_predecessor_end<time_point>;
-// On the clock of day.
+// With times of the wall clock.
 using wall_dependency_graph = basic_dependency_graph<wall_time>;
 using wall_predecessor_end = basic_predecessor_end<wall_time>;
 
--- a/src/catalog/ended_job_memory.hpp
+++ b/src/catalog/ended_job_memory.hpp
@@ -1,5 +1,5 @@
-// What a node keeps at hand of jobs that are not active: how the latest ones ended, and which ids
-// nobody submitted. Pure.
+// Bounded caches about jobs that are not active: how the latest ones ended, and ids that don't
+// exist. They do no input or output.
 #pragma once
 #include "wire/codec.hpp"
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace spindlecroft::catalog {
 
-// The records of jobs that ended, as many as fit; the ones that came first are dropped first.
+// Caches the records of ended jobs. When it is full, the oldest entry is evicted (FIFO).
 class ended_job_cache {
   public:
     explicit ended_job_cache(std::size_t capacity) : capacity_(capacity) {}
-    // A record that is there already stays: how a job ended is final.
+    // Adds a record. An existing one is kept, since the end of a job is final.
     void add(const std::string &job, const wire::ended_record &record);
-    // Nothing: not at hand. Valid until the next add().
+    // Returns null if the record isn't cached. The pointer is valid until the next add().
     [[nodiscard]] const wire::ended_record *find(const std::string &job) const;
 
   private:
@@ -25,14 +25,13 @@
     std::deque<std::string> order_; // oldest first
 };
 
-// Ids of jobs that nobody has submitted, as many as fit; the oldest are dropped first. Guards
-// against users who ask again and again about such jobs: each question would cost a request at the
-// key-value store.
+// Caches the ids of jobs that don't exist, with FIFO eviction, so that repeated queries for such a
+// job don't each cost a request to the key-value store.
 class absent_job_cache {
   public:
     explicit absent_job_cache(std::size_t capacity) : capacity_(capacity) {}
     void add(const std::string &job);
-    // The job was submitted.
+    // Removes a job that has been submitted.
     void remove(const std::string &job) { jobs_.erase(job); }
     void clear();
     [[nodiscard]] bool contains(const std::string &job) const { return jobs_.count(job) > 0; }
@@ -40,7 +39,7 @@
   private:
     std::size_t capacity_;
     std::unordered_set<std::string> jobs_;
-    std::deque<std::string> order_; // oldest first; may name some that were removed
+    std::deque<std::string> order_; // oldest first; may contain removed ids
 };
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/job_cache.cpp
+++ b/src/catalog/job_cache.cpp
@@ -1,4 +1,4 @@
-// The copy itself: what it holds, and how records and changes go into it.
+// The contents of the cache, and how records and changes are applied to it.
 #include "catalog/job_cache.hpp"
 #include "constants.hpp"
 #include "store/keys.hpp"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The part of a key behind its prefix.
+// Returns the part of a key after its prefix.
 std::string id_of(const std::string &key, std::string_view prefix) {
     return key.substr(prefix.size());
 }
@@ -79,8 +79,8 @@
     ended_.add(id, record);
 }
 
-// The watch tells of every job that is submitted later. A read older than the cache says nothing
-// about what the cache has seen since.
+// Remembers that a job doesn't exist; the watch reports jobs that are submitted later. A read older
+// than the cache is ignored, because the job may have been submitted since.
 void job_cache::remember_absent(const std::string &id, std::uint64_t revision) {
     if (revision < revision_ || is_active(id))
         return;
@@ -98,7 +98,7 @@
             jobs[id_of(item.key, keys::active_jobs_prefix)] = {wire::parse_job_record(item.value),
                                                                item.version};
         } catch (const wire::malformed_message &error) {
-            spdlog::error("{}: {}", item.key, error.what());
+            spdlog::error("ignoring malformed job record {}: {}", item.key, error.what());
         }
     }
     replace_active_jobs(std::move(jobs));
@@ -118,7 +118,7 @@
         put_active(id, std::move(job));
     for (auto &[id, job] : active_)
         note_known_ends(id);
-    absent_.clear(); // changes were missed
+    absent_.clear(); // submissions may have been missed
 }
 
 void job_cache::handle_watch_result(const store::watch_result &watched) {
@@ -134,8 +134,9 @@
     }
 }
 
-// The answer holds every change after its `since` up to its revision. Since the cache is at a
-// revision not below that `since`, what is newer than the cache brings it to the answer's.
+// Applies the changes that are newer than the cache. The response holds every change after its
+// `since` up to its revision, and the cache's revision is not below `since`: afterwards the cache
+// is at the revision of the response.
 void job_cache::apply(const wire::range_answer &changes) {
     if (changes.revision <= revision_)
         return;
@@ -145,7 +146,7 @@
         try {
             apply_change(item);
         } catch (const wire::malformed_message &error) {
-            spdlog::error("{}: {}", item.key, error.what());
+            spdlog::error("ignoring malformed job record {}: {}", item.key, error.what());
         }
     }
     revision_ = changes.revision;
--- a/src/catalog/job_cache_reads.cpp
+++ b/src/catalog/job_cache_reads.cpp
@@ -1,5 +1,5 @@
-// How the copy is kept up to date: the watch, the shared reads for polls, and the reads of single
-// records of jobs that ended.
+// Keeps the cache up to date: the watch, shared reads for status queries, and reads of single
+// records of ended jobs.
 #include "catalog/job_cache.hpp"
 #include "constants.hpp"
 #include "store/keys.hpp"
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Between two looks whether a read is wanted, without a notification.
+// Longest wait for a notification that a read is requested.
 constexpr seconds idle_wait{1.0};
-constexpr seconds unloaded_wait{0.1}; // before the first load
+constexpr seconds unloaded_wait{0.1}; // the same before the first load
 
 } // namespace
 
-// Changes as they come, without anybody asking.
+// Follows the changes of the job records with a long-polling watch.
 awaitable<void> job_cache::run_watch() {
     while (!stopping_) {
         if (!loaded_ || needs_reload_) {
@@ -78,7 +78,7 @@
             co_return false;
         co_await read_completed_.wait_for(left);
     }
-    // Guards against an answer from before the process stood still.
+    // Rejects a response that is out of date because the process was suspended meanwhile.
     co_return !stopping_ && steady_now() <= limit;
 }
 
@@ -103,7 +103,7 @@
         remember_ended(id, record);
         return {lookup_outcome::found, record};
     } catch (const wire::malformed_message &error) {
-        spdlog::error("{}: can't be read: {}", read.item.key, error.what());
+        spdlog::error("malformed record {} of an ended job: {}", read.item.key, error.what());
         return {};
     }
 }
@@ -125,7 +125,7 @@
 awaitable<void> job_cache::run_predecessor_reads() {
     while (!stopping_) {
         for (auto &predecessor : unresolved()) {
-            // Its record may have come meanwhile.
+            // Its record may have arrived during an earlier read.
             if (stopping_ || graph_.end_of(predecessor))
                 continue;
             (void)co_await read_ended(predecessor);
--- a/src/records/done_records.cpp
+++ b/src/records/done_records.cpp
@@ -15,14 +15,14 @@
     return part * constants::part_done;
 }
 
-// One past the last task of the part.
+// Returns one past the last task of the part.
 std::size_t end_of_part(const catalog::job &job, std::uint32_t part) {
     return std::min<std::size_t>(job.spec.tasks, first_task_of(part) + constants::part_done);
 }
 
 } // namespace
 
-// --- taking over ---
+// --- loading after a failover ---
 
 void done_records::load(const std::string &name, const std::vector<wire::done_part> &parts) {
     auto &loaded = records_[name];
@@ -50,11 +50,11 @@
     }
 }
 
-// --- noting ---
+// --- recording done tasks ---
 
-// Guards against a record that an earlier version filled under larger limits and that can't be
-// written any more: it stays as it is until its jobs have ended, and what is new of a part goes
-// into another record. A part in two records is done where either says so.
+// Assigns the part to another record if its own one is too large to be written: an earlier version
+// may have filled it under larger limits. The old record stays unchanged until its jobs have ended.
+// If two records contain a part, a task is done if either of them says so.
 void done_records::note_done(catalog::job &job, std::uint32_t index, time_point now) {
     auto part = static_cast<std::uint32_t>(index / constants::part_done);
     auto &name = job.done_record_of_part[part];
@@ -75,7 +75,7 @@
     return name;
 }
 
-// The record that takes the next part of so many bytes.
+// Returns the record for a new part of this size (bytes).
 std::string done_records::open_record_for(std::size_t bytes) {
     auto open = records_.find(open_record_);
     if (open != records_.end() && open->second.bytes + bytes <= max_record_bytes(settings_))
@@ -89,9 +89,10 @@
 
 // --- writing ---
 
-void done_records::take_writes(std::vector<durable_write> &out, time_point now, std::size_t &room) {
+void done_records::take_writes(std::vector<durable_write> &out, time_point now,
+                               std::size_t &max_writes) {
     for (const auto &due : writable_records(now)) {
-        if (room == 0)
+        if (max_writes == 0)
             return;
         auto &written = records_[due.name];
         written.dirty_since.reset();
@@ -100,11 +101,11 @@
             continue;
         written.write_pending = true;
         out.push_back(std::move(*write));
-        --room;
+        --max_writes;
     }
 }
 
-// What waits longest goes first.
+// Returns the records that may be written now, the one that has been dirty for longest first.
 std::vector<done_records::dirty_record> done_records::writable_records(time_point now) const {
     std::vector<dirty_record> due;
     for (const auto &[name, kept] : records_)
@@ -138,7 +139,7 @@
     return write;
 }
 
-// The ended records of their jobs tell all.
+// Erases the parts of ended jobs, whose ended records replace them.
 void done_records::erase_ended_parts(record &from) {
     std::erase_if(from.parts, [this](const job_part &part) {
         const auto *job = state_.find_job(part.job);
@@ -146,12 +147,12 @@
     });
 }
 
-// --- written ---
+// --- results of writes ---
 
 void done_records::on_written(const durable_write &write, bool ok, time_point now) {
     if (auto found = records_.find(write.record_name); found != records_.end()) {
         found->second.write_pending = false;
-        if (!ok) // due again after a pause
+        if (!ok) // retry after state_retry
             found->second.dirty_since = now + constants::state_retry - constants::done_gap;
     }
     if (!ok)
@@ -173,7 +174,7 @@
         state_.release_attempt(*job, task.index, false);
 }
 
-// --- ended ---
+// --- obsolete records ---
 
 std::vector<std::string> done_records::take_obsolete_keys() {
     std::vector<std::string> keys;
--- a/src/records/done_records.hpp
+++ b/src/records/done_records.hpp
@@ -1,5 +1,6 @@
-// Records of done tasks. All jobs share a few of them until the job's ended record tells the rest:
-// at full size one for each job would take more changes a second than the key-value store allows.
+// Records of done tasks, which are kept until the job's ended record replaces them. Jobs share
+// these records, because in the largest clusters one record per job would exceed the write rate
+// that the key-value store allows.
 #pragma once
 #include "catalog/job.hpp"
 #include "common/time.hpp"
@@ -19,25 +20,26 @@
 
 namespace spindlecroft::records {
 
-// Keeps which part of which job's tasks is in which record, and writes what changed.
+// Assigns parts of jobs' tasks to records and writes the records that changed.
 class done_records {
   public:
     // Both must outlive this.
     done_records(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state) {}
 
-    // A record of an earlier leader.
+    // Loads a record of an earlier leader.
     void load(const std::string &name, const std::vector<wire::done_part> &parts);
-    // A task was seen done; it is to be recorded.
+    // Schedules the recording of a task that was reported as done.
     void note_done(catalog::job &job, std::uint32_t index, time_point now);
-    // Appends the writes that are due, at most `room` of them, and lowers `room` accordingly.
-    void take_writes(std::vector<durable_write> &out, time_point now, std::size_t &room);
+    // Appends the writes that are due, at most `max_writes`, and reduces `max_writes` by their
+    // number.
+    void take_writes(std::vector<durable_write> &out, time_point now, std::size_t &max_writes);
     void on_written(const durable_write &write, bool ok, time_point now);
-    // Forgets records whose jobs have all ended; the keys to delete.
+    // Forgets the records whose jobs have all ended, and returns their keys for deletion.
     [[nodiscard]] std::vector<std::string> take_obsolete_keys();
 
   private:
-    // A range of a job's tasks, recorded together.
+    // A range of part_done tasks of a job that are recorded together.
     struct job_part {
         std::string job;
         std::uint32_t number = 0;
@@ -45,16 +47,16 @@
         auto operator<=>(const job_part &) const = default;
     };
     enum class record_state {
-        open,      // takes further parts
-        closed,    // takes none
-        too_large, // can't even be written again under the present limits
+        open,      // accepts further parts
+        closed,    // accepts no further parts
+        too_large, // can't be rewritten under the current limits
     };
     struct record {
         std::set<job_part> parts;
         std::size_t bytes = 0;
         record_state fill_state = record_state::open;
-        bool write_pending = false;            // a write of it is under way
-        std::optional<time_point> dirty_since; // nothing: all of it is written
+        bool write_pending = false;            // a write is in flight
+        std::optional<time_point> dirty_since; // nullopt: fully written
     };
     struct dirty_record {
         time_point since{};
@@ -65,10 +67,10 @@
 
     void load_part(const std::string &name, record &into, const wire::done_part &part);
     [[nodiscard]] std::string open_record_for(std::size_t bytes);
-    // Finds room for a part of the job; the name of its record.
+    // Assigns a part of the job to a record and returns the record's name.
     [[nodiscard]] std::string assign_record(const catalog::job &job, std::uint32_t part);
     [[nodiscard]] std::vector<dirty_record> writable_records(time_point now) const;
-    // Nothing, if the record tells nothing new.
+    // Returns nullopt if the record contains nothing new.
     [[nodiscard]] std::optional<durable_write> make_write(const std::string &name, record &written);
     void erase_ended_parts(record &from);
     void confirm(const catalog::task_ref &task);
--- a/src/records/job_ends.cpp
+++ b/src/records/job_ends.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Every task is done and every attempt is over.
+// Returns whether every task is done and every attempt has exited.
 bool is_complete(const catalog::job &job) {
     if (job.cancelled || job.spec.shape != job_shape::array ||
         job.reported_done_count != job.spec.tasks)
@@ -43,7 +43,7 @@
     wire::ended_record ended;
     ended.state = job.cancelled ? job_state::cancelled : job_state::done;
     ended.done = job.reported_done_count;
-    ended.at = state_.term().clock.to_wall(now); // from then on those that wait for it are ready
+    ended.at = state_.term().clock.to_wall(now); // its dependents may be ready from then on
     write.ops.push_back({store::keys::ended_job(write.job), wire::encode_ended(ended), 0});
     return write;
 }
@@ -54,7 +54,7 @@
     if (!job)
         return std::nullopt;
     if (!ok) {
-        // A cancel came first; the watch will tell.
+        // The record changed first, by a cancel; the watch will deliver it.
         job->end_write_pending = false;
         job->next_write_at = now + constants::state_retry;
         return std::nullopt;
--- a/src/records/job_ends.hpp
+++ b/src/records/job_ends.hpp
@@ -1,5 +1,5 @@
-// The ends of jobs: from the moment a job is complete, or cancelled and without tasks, to its
-// durable ended record.
+// Ends jobs: once a job is complete, or cancelled and without attempts, its ended record is
+// written.
 #pragma once
 #include "catalog/dependency_graph.hpp"
 #include "catalog/job.hpp"
@@ -11,7 +11,7 @@
 
 namespace spindlecroft::records {
 
-// Replaces the active records of jobs by ended ones.
+// Replaces the active records of ended jobs by ended records.
 class job_ends {
   public:
     // The state must outlive this.
@@ -19,7 +19,7 @@
 
     // Appends a write for each job that can end now.
     void take_writes(std::vector<durable_write> &out, time_point now);
-    // How the job ended, if it is ended now; it is not in the state any more then.
+    // Returns how the job ended if the write succeeded; the job is then removed from the state.
     [[nodiscard]] std::optional<catalog::wall_predecessor_end>
     on_written(const durable_write &write, bool ok, time_point now);
 
--- a/src/records/job_loader.cpp
+++ b/src/records/job_loader.cpp
@@ -10,8 +10,8 @@
     return job.done[index] || job.current_attempts.contains(index);
 }
 
-// Tasks after the last one that was ever placed are fresh; the others that are neither done nor on
-// a machine are placed again.
+// Queues for another placement all tasks that are neither done nor on a machine, up to the last one
+// that was ever placed.
 void restore_waiting_tasks_of(catalog::job &job) {
     std::uint32_t first_fresh = 0;
     for (std::uint32_t index = 0; index < job.spec.tasks; ++index)
--- a/src/records/job_loader.hpp
+++ b/src/records/job_loader.hpp
@@ -1,4 +1,4 @@
-// Active jobs as their durable records tell of them: read on taking over, or from the watch later.
+// Loads active jobs from their durable records, on failover and later from the watch.
 #pragma once
 #include "catalog/job.hpp"
 #include "common/time.hpp"
@@ -11,22 +11,23 @@
 
 namespace spindlecroft::records {
 
-// Brings the jobs' records into the state.
+// Applies job records to the cluster state.
 class job_loader {
   public:
     // Both must outlive this.
     job_loader(model::cluster_state &state, dependencies::dependency_tracker &dependencies)
         : state_(state), dependencies_(dependencies) {}
 
-    // A job that is not in the state yet.
+    // Adds a job that isn't in the state yet.
     void load(const std::string &id, const wire::job_record &record, std::uint64_t version,
               time_point now);
-    // A job's record, new or changed.
+    // Applies a new or changed job record.
     void on_record(const std::string &id, const wire::job_record &record, std::uint64_t version,
                    time_point now);
-    // A cancel that is durable, told before the job's record comes.
+    // Applies a durable cancel that was announced before the job's record arrives.
     void on_cancel(const cancel_notice &notice, time_point now);
-    // All jobs, placements and done tasks of earlier leaders are loaded: which tasks remain.
+    // Determines which tasks are still to be placed. To be called when all jobs, placements and
+    // done tasks of earlier leaders are loaded.
     void restore_waiting_tasks();
 
   private:
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-constexpr int conditions_per_op = 4; // that the store allows in a transaction
-constexpr int other_conditions = 2;  // the fence's and the record's own
+constexpr int conditions_per_op =
+    4; // conditions per operation that the store allows in a transaction
+constexpr int other_conditions = 2; // those of the fence and of the record itself
 constexpr std::size_t empty_record_bytes = 2;
 
 } // namespace
 
-// --- taking over ---
+// --- loading after a failover ---
 
 void placement_records::load(const std::string &name, const std::vector<wire::placed_task> &tasks,
                              time_point now) {
@@ -32,16 +33,16 @@
     auto *job = state_.find_job(task.job);
     if (!job || task.index >= job->spec.tasks || job->done[task.index])
         return;
-    // An older record may still name an attempt that was proven gone before a newer one was made:
-    // attempt numbers only grow.
+    // An older record may still contain an attempt that was proven to have stopped before a newer
+    // one was created. Attempt numbers increase, so the higher one counts.
     if (auto known = job->current_attempts.find(task.index); known != job->current_attempts.end()) {
         if (known->second.number >= task.attempt)
             return;
         state_.release_attempt(*job, task.index, false);
     }
     into.tasks.push_back(task);
-    // Guards against a second start: the task may be there, or a start may be under way, until the
-    // machine's own heartbeat under our token says otherwise.
+    // Prevents a second start: the task may be on the machine, or a start command in transit, until
+    // a heartbeat of the machine under our fencing token rules it out.
     catalog::attempt attempt;
     attempt.task = {task.job, task.index};
     attempt.number = task.attempt;
@@ -74,9 +75,10 @@
     while (!from.waiting.empty()) {
         auto &extended = open_record(from);
         if (extended.write_pending)
-            return; // the next write takes all that gathers meanwhile
-        // Guards against placements that take every change the key-value store allows, one for
-        // each few tasks, while the records of ended jobs wait and users hear of them too late.
+            return; // the next write covers the attempts that are added meanwhile
+        // Limits the rate of placement writes. Otherwise they would use up the write limit of the
+        // key-value store with a few tasks each, the records of ended jobs would be delayed, and
+        // users would learn too late that their jobs have ended.
         if (paced && now < next_array_write_)
             return;
         auto filled = begin_draft(from.open_record, extended);
@@ -114,7 +116,7 @@
     return begun;
 }
 
-// Takes as many of the waiting attempts as fit; those that must wait keep their order.
+// Adds as many of the waiting attempts as fit; postponed ones keep their order.
 void placement_records::fill(draft &filled, record &extended, queue &from, time_point now) {
     auto &waiting = from.waiting;
     std::deque<catalog::task_ref> postponed;
@@ -140,14 +142,14 @@
     const auto *attempt = state_.find_attempt(task);
     if (!job || job->is_closed() || !attempt || attempt->phase != attempt_phase::committing)
         return fill_decision::discard;
-    if (!job->ready) { // never queued, so never here; checked again before it is durable
+    if (!job->ready) { // not expected here: jobs that aren't ready are never queued
         state_.release_attempt(*job, task.index, true);
         return fill_decision::discard;
     }
     if (now < job->next_write_at)
         return fill_decision::postpone;
-    // Guards against writes that cover a few tasks each while queues of many jobs drain: a write
-    // takes every task of as many jobs as it may name.
+    // Limits the number of jobs per write, but not of their tasks: otherwise, while the queues of
+    // many jobs drain, each write would cover only a few tasks.
     if (!filled.jobs.contains(task.job) && filled.jobs.size() >= max_jobs_per_write())
         return fill_decision::postpone;
     if (filled.bytes + wire::placed_bytes(placement_of(task)) > max_record_size())
@@ -164,7 +166,7 @@
                                           const catalog::task_ref &task) {
     auto placement = placement_of(task);
     filled.bytes += wire::placed_bytes(placement);
-    // A cancel changes the job's record, so it wins over a placement made meanwhile.
+    // A cancel changes the job's record and so makes a concurrent placement fail.
     if (filled.jobs.insert(task.job).second)
         filled.write.conditions.push_back(
             {store::keys::active_job(task.job), state_.find_job(task.job)->record_revision});
@@ -196,7 +198,7 @@
                          constants::state_share * settings_.state_write_rps);
 }
 
-// --- written ---
+// --- results of writes ---
 
 void placement_records::on_written(const durable_write &write, bool ok, time_point now) {
     if (auto written = records_.find(write.record_name); written != records_.end())
@@ -210,7 +212,8 @@
     if (!job)
         return;
     if (!ok)
-        job->next_write_at = now + constants::state_retry; // by then the watch tells what changed
+        job->next_write_at =
+            now + constants::state_retry; // the watch will have delivered the change by then
     auto *attempt = state_.find_attempt(placed.task, placed.number);
     if (!attempt || attempt->phase != attempt_phase::committing)
         return;
@@ -223,7 +226,7 @@
     state_.mark_urgent(attempt->machine);
 }
 
-// --- ended ---
+// --- obsolete records ---
 
 std::vector<std::string> placement_records::take_obsolete_keys() {
     std::vector<std::string> keys;
--- a/src/records/placement_records.hpp
+++ b/src/records/placement_records.hpp
@@ -1,8 +1,8 @@
-// Records of placements: which attempt of a task is on which machine. A task is started only once
-// its placement is durable.
+// Placement records: which attempt of a task is on which machine. A task is started only once its
+// placement is durable.
 //
-// Placements of any jobs share records, filled one after another, so that a round of placements
-// costs one change at the key-value store, however many jobs it touches.
+// Jobs share these records, which are filled one after another, so that a planning round costs one
+// write to the key-value store regardless of the number of jobs.
 #pragma once
 #include "catalog/job.hpp"
 #include "common/time.hpp"
@@ -21,47 +21,49 @@
 
 namespace spindlecroft::records {
 
-// Collects attempts that no record covers yet into records, and follows up on their writes.
+// Collects new attempts into records and handles the results of their writes.
 class placement_records {
   public:
     // Both must outlive this.
     placement_records(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state) {}
 
-    // A record of an earlier leader.
+    // Loads a record of an earlier leader.
     void load(const std::string &name, const std::vector<wire::placed_task> &tasks, time_point now);
-    // The task has an attempt that is to be placed durably.
+    // Queues the current attempt of the task for a durable placement.
     void add(const catalog::task_ref &task, job_shape shape);
     // Appends the writes that can be made now.
     void take_writes(std::vector<durable_write> &out, time_point now);
     void on_written(const durable_write &write, bool ok, time_point now);
-    // Forgets records whose placements have all ended; the keys to delete.
+    // Forgets the records whose attempts have all ended, and returns their keys for deletion.
     [[nodiscard]] std::vector<std::string> take_obsolete_keys();
 
   private:
     struct record {
         std::vector<wire::placed_task> tasks;
-        bool write_pending = false;     // a write of it is under way
-        bool accepts_placements = true; // takes further placements
+        bool write_pending = false;     // a write is in flight
+        bool accepts_placements = true; // accepts further placements
     };
-    // Services stay for long, so they don't share records with arrays.
+    // Services run for long, so they don't share records with arrays, whose records can then be
+    // deleted earlier.
     enum class task_group { arrays, services };
     struct queue {
-        std::deque<catalog::task_ref> waiting; // attempts that no record covers yet
+        std::deque<catalog::task_ref> waiting; // attempts that no record contains yet
         std::string open_record;               // empty: none
     };
-    // A write that is being put together, and the record it extends.
+    // A write that is being assembled, with the size of the record that it extends.
     struct draft {
         durable_write write;
-        std::set<std::string> jobs; // named in its conditions
+        std::set<std::string> jobs; // jobs in its conditions
         std::size_t bytes = 0;      // of the record
-        bool full = false;          // the next placement did not fit
+        bool full = false;          // the next placement didn't fit
     };
+    // What to do with a waiting attempt while a write is assembled.
     enum class fill_decision {
         include,
-        postpone,    // to a later write
-        discard,     // nothing to record any more
-        record_full, // into the next record
+        postpone,    // leave it for a later write
+        discard,     // it needs no record any more
+        record_full, // the next record takes it
     };
 
     void load_placement(record &into, const wire::placed_task &task, time_point now);
@@ -76,10 +78,10 @@
     void erase_ended_tasks(record &from);
     void confirm(const placed_attempt &placed, bool ok, time_point now);
     [[nodiscard]] queue &queue_of(task_group group);
-    // At most so many jobs can one write name.
+    // Returns the largest number of jobs in one write: each takes a condition.
     [[nodiscard]] std::size_t max_jobs_per_write() const;
     [[nodiscard]] std::size_t max_record_size() const;
-    // The time between two writes of placements of arrays.
+    // Returns the least time between two writes of array placements.
     [[nodiscard]] seconds write_interval() const;
 
     const settings::settings &settings_;
--- a/src/records/record_cleanup.cpp
+++ b/src/records/record_cleanup.cpp
@@ -21,11 +21,11 @@
     }
 }
 
-void record_cleanup::take_writes(std::vector<durable_write> &out, std::size_t &room) {
-    while (!pending_.empty() && room > 0) {
+void record_cleanup::take_writes(std::vector<durable_write> &out, std::size_t &max_writes) {
+    while (!pending_.empty() && max_writes > 0) {
         out.push_back(std::move(pending_.back()));
         pending_.pop_back();
-        --room;
+        --max_writes;
     }
 }
 
--- a/src/records/record_cleanup.hpp
+++ b/src/records/record_cleanup.hpp
@@ -1,4 +1,4 @@
-// Deletion of records that are not needed any more.
+// Deletes placement and done-task records that are no longer needed.
 #pragma once
 #include "common/time.hpp"
 #include "records/done_records.hpp"
@@ -11,12 +11,13 @@
 
 namespace spindlecroft::records {
 
-// Looks for ended records now and then, and keeps the keys to delete until there is room for it.
+// Periodically collects obsolete records and queues their deletion until writes are available.
 class record_cleanup {
   public:
+    // Collects obsolete records, at most once per sweep_gap.
     void sweep(placement_records &placements, done_records &done, time_point now);
-    // Appends at most `room` writes and lowers `room` accordingly.
-    void take_writes(std::vector<durable_write> &out, std::size_t &room);
+    // Appends at most `max_writes` writes and reduces `max_writes` by their number.
+    void take_writes(std::vector<durable_write> &out, std::size_t &max_writes);
 
   private:
     void add(const std::vector<std::string> &keys);
--- a/src/records/record_names.hpp
+++ b/src/records/record_names.hpp
@@ -6,7 +6,7 @@
 
 namespace spindlecroft::records {
 
-// Gives out names that no other leadership uses, for records of one kind.
+// Generates names for records of one kind that are unique across leaderships.
 class record_name_generator {
   public:
     [[nodiscard]] std::string next(const model::leadership_term &term);
--- a/src/records/record_sizes.hpp
+++ b/src/records/record_sizes.hpp
@@ -1,11 +1,11 @@
-// How large a record may be.
+// The size limit of records.
 #pragma once
 #include "settings/settings.hpp"
 #include <cstddef>
 
 namespace spindlecroft::records {
 
-// Records are filled to this many bytes, so that they stay below the store's limit on values.
+// Returns the number of bytes up to which records are filled, below the store's limit on values.
 [[nodiscard]] std::size_t max_record_bytes(const settings::settings &settings);
 
 } // namespace spindlecroft::records
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -15,8 +15,8 @@
             state_.failures().load_suspect(id, now);
 }
 
-// Guards against a new leader that tries every task of a job that fails everywhere once more, and
-// blames the machines for it.
+// Makes the suspects durable. Otherwise a new leader would retry every task of a job that fails on
+// all machines, and attribute the failures to the machines.
 void suspect_record::take_writes(std::vector<durable_write> &out, time_point now) {
     if (write_pending_ || !elapsed(last_write_, constants::suspects_gap, now))
         return;
--- a/src/store/batch.cpp
+++ b/src/store/batch.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Bytes that a written key adds to a transaction besides its name and its value.
+// Bytes that an operation adds to a transaction besides its key and value.
 constexpr std::size_t op_overhead = 64;
-// So many conditions for each change may go into one transaction.
+// Conditions that the store accepts in a transaction for each of its operations.
 constexpr std::size_t conditions_per_op = 4;
 
 std::size_t bytes_of(const write_unit &unit) {
@@ -19,12 +19,12 @@
     return bytes;
 }
 
-// At most; written keys that are owned become conditions too.
+// Returns an upper bound: keys that the unit owns become conditions too.
 std::size_t conditions_of(const write_unit &unit) {
     return unit.conditions.size() + unit.ops.size();
 }
 
-// A transaction that units are added to.
+// Collects the queue positions of the units that fit into one transaction.
 class selection {
   public:
     selection(int max_ops, std::size_t max_bytes)
@@ -38,7 +38,8 @@
                bytes_ + bytes_of(unit) <= max_bytes_ &&
                conditions_ + conditions_of(unit) <= max_conditions_;
     }
-    // A key that one unit of the transaction writes is not touched by another.
+    // Returns whether a selected unit writes a key of this unit: no other unit of a transaction may
+    // write it or have a condition on it.
     [[nodiscard]] bool writes_key_of(const write_unit &unit) const {
         auto written = [&](auto &touched) { return written_.count(touched.key) > 0; };
         return std::any_of(unit.ops.begin(), unit.ops.end(), written) ||
@@ -87,7 +88,7 @@
     auto places = places_by_priority(waiting);
     for (auto place : places) {
         auto &unit = waiting[place];
-        // What nobody waits for does not make a transaction larger that somebody waits for.
+        // Background units don't enlarge a transaction that carries more urgent ones.
         if (unit.priority == request_priority::background && !selected.empty() &&
             waiting[places.front()].priority != request_priority::background)
             break;
@@ -106,7 +107,7 @@
 
 write_batch take_units(std::deque<write_unit> &waiting, const std::vector<std::size_t> &chosen) {
     write_batch batch;
-    // From the end, so that the places that are left stay valid.
+    // Erases from the end, so that the remaining positions stay valid.
     // NOLINTNEXTLINE(modernize-loop-convert): clang 14 does not compile std::views::reverse.
     for (auto place = chosen.rbegin(); place != chosen.rend(); ++place) {
         batch.push_back(std::move(waiting[*place]));
--- a/src/store/budget.hpp
+++ b/src/store/budget.hpp
@@ -1,4 +1,4 @@
-// A token bucket that keeps a reserve for urgent requests. Pure: it is given the time.
+// A token bucket that keeps a reserve for urgent requests. The caller passes in the current time.
 #pragma once
 #include "common/time.hpp"
 #include "store/request_priority.hpp"
@@ -6,25 +6,26 @@
 
 namespace spindlecroft::store {
 
-// Refills with time, up to its burst. Less urgent requests leave a reserve to more urgent ones.
+// Refills at a constant rate up to its burst. Less urgent requests leave a reserve for more urgent
+// ones. The number of tokens may become negative: a large request leaves a debt.
 class token_bucket {
   public:
-    // rate: tokens a second. burst: how long the bucket takes to fill; it starts full.
+    // rate: tokens per second. burst: the time in which the empty bucket fills. It starts full.
     explicit token_bucket(double rate, seconds burst = seconds{1})
         : rate_(rate), burst_(rate * burst.count()), tokens_(burst_) {}
-    // Takes the tokens if the priority allows it; otherwise returns false and takes nothing.
+    // Takes the tokens if the priority's reserve allows it; otherwise returns false and takes none.
     [[nodiscard]] bool try_take(double tokens, request_priority priority, time_point now);
-    // Tokens a second from now on; the bucket then holds those of one second.
+    // Sets the rate (tokens per second) and a burst of one second's tokens.
     void set_rate(double rate) {
         rate_ = rate;
         burst_ = rate;
     }
-    // The service refused a request: others have used up what it allows.
+    // Empties the bucket after the store refused a request because its rate limit was used up.
     void drain() { tokens_ = 0; }
 
   private:
-    double rate_;  // tokens a second
-    double burst_; // tokens; the bucket holds no more
+    double rate_;  // tokens per second
+    double burst_; // capacity in tokens
     double tokens_ = 0;
     std::optional<time_point> refilled_at_;
 };
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr seconds idle_wait{1}; // between two looks at an empty queue
+constexpr seconds idle_wait{1}; // longest wait for a notification while the queue is empty
 
 } // namespace
 
@@ -92,7 +92,7 @@
     case transaction_outcome::unknown:
         sent.outcome_unknown = true;
         co_await net::sleep_for(c::state_retry);
-        // The same again: its conditions hold at most once.
+        // Resending is safe: the conditions hold for at most one copy of the transaction.
         co_return retry_if_permitted(batch);
     case transaction_outcome::refused:
         co_await net::sleep_for(c::state_retry);
@@ -126,9 +126,9 @@
     finish(batch, write_outcome::committed, revision);
 }
 
-// Guards against a large transaction that the service never has room for while small ones of other
-// nodes use up what it allows. One that may have been executed stays as it is: the same again is
-// applied at most once.
+// Halves the batch after a rate-limit refusal: a large transaction might otherwise never be
+// admitted while small ones of other controllers use up the store's rate limit. A transaction that
+// may have been executed is resent unchanged, since an identical copy is applied at most once.
 committer::next_step committer::handle_refusal(const transaction &sent, write_batch &batch) {
     if (sent.outcome_unknown || !may_write())
         return retry_if_permitted(batch);
@@ -138,8 +138,8 @@
     return next_step::build_next;
 }
 
-// Guards against a change that is sent and refused for ever once the service takes smaller values
-// or transactions: it is split, and what can't be is refused here from then on.
+// Splits a batch that exceeds the store's size limits, which may shrink at any time. A single unit
+// that is too large is rejected, and locally from then on, so that it isn't resent without end.
 committer::next_step committer::handle_too_large(const transaction &sent, const std::string &error,
                                                  write_batch &batch) {
     if (batch.size() > 1) {
@@ -155,8 +155,8 @@
     for (auto &change : unit.ops) {
         if (change.value.empty())
             continue;
-        spdlog::error("{}: {} with {} bytes is refused: {}", name_, change.key, change.value.size(),
-                      error);
+        spdlog::error("{}: key-value store rejected the write of {} ({} bytes) as too large: {}",
+                      name_, change.key, change.value.size(), error);
         too_large_[change.key] = change.value.size();
     }
 }
@@ -190,14 +190,15 @@
     co_return own->applied;
 }
 
-// After an unknown outcome it may have been our own copy that moved the keys. All or nothing was
-// applied, so one written value tells.
+// Reads back one written value after an unknown outcome, since an earlier copy of this transaction
+// may have changed the keys. A transaction is applied completely or not at all, so one key
+// suffices.
 awaitable<std::optional<committer::earlier_copy>>
 committer::find_earlier_copy(const transaction &sent) {
     auto written = std::find_if(sent.ops.begin(), sent.ops.end(),
                                 [](auto &change) { return !change.value.empty(); });
     if (written == sent.ops.end())
-        co_return earlier_copy{true, 0}; // deletions of keys that nobody else writes
+        co_return earlier_copy{true, 0}; // only deletions of keys that nobody else writes
     for (;;) {
         auto read = co_await state_.get(written->key, sent.priority);
         if (read) {
@@ -210,8 +211,9 @@
     }
 }
 
-// The token was raised meanwhile, or we lead no more: whoever holds the fence finds out which, or
-// this would be tried for ever.
+// Handles a failed fence condition: either this leader's fencing token was raised or the leadership
+// ended. The owner of the fence is notified to find out; without that the same transaction would be
+// retried without end.
 awaitable<committer::next_step> committer::handle_fence_failure(const transaction &sent,
                                                                 write_batch &batch) {
     if (on_fence_failed)
@@ -225,7 +227,7 @@
     co_return now->version != sent.fence->version ? next_step::build_next : next_step::resend;
 }
 
-// Units whose conditions failed are told; the others are tried again without them.
+// Finishes the units whose conditions failed; the others are retried without them.
 awaitable<void> committer::drop_conflicting(request_priority priority,
                                             const std::set<std::string> &failed,
                                             write_batch &batch) {
@@ -241,7 +243,7 @@
     finish(conflicting, write_outcome::conflict);
 }
 
-// Our idea of an owned key's revision was wrong: it is read for the next try.
+// Reads the revision of an owned key for the next attempt, since the known one was wrong.
 awaitable<void> committer::read_revision(const std::string &key, request_priority priority) {
     auto read = co_await state_.get(key, priority);
     if (read && read->found)
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-constexpr std::size_t idle_connections = 8;  // kept open to the store
-constexpr seconds budget_poll{0.02};         // between two looks for room in the budget
-constexpr double least_write_rate = 2.0;     // writes a second
-constexpr double leader_request_share = 0.5; // of the requests; the others share the rest
+constexpr std::size_t idle_connections = 8; // keep-alive connections to the store
+constexpr seconds budget_poll{0.02};        // polling interval while the budget is used up
+constexpr double least_write_rate = 2.0;    // writes per second
+constexpr double leader_request_share =
+    0.5; // share of the request rate; the other controllers split the rest
 
 constexpr int http_ok = 200;
 constexpr int http_bad_request = 400;
@@ -28,13 +29,13 @@
     return reply.how == net::outcome::answered && reply.status == status;
 }
 
-// What the function makes of an answer, or nothing if the answer can't be read.
+// Returns the parsed response, or nullopt if it is malformed.
 template <class Parse>
 auto parsed(Parse parse) -> std::optional<std::invoke_result_t<Parse>> {
     try {
         return parse();
     } catch (const wire::malformed_message &error) {
-        spdlog::warn("state service: {}", error.what());
+        spdlog::warn("malformed response from the key-value store: {}", error.what());
         return std::nullopt;
     }
 }
@@ -54,9 +55,9 @@
         result.outcome = transaction_outcome::rejected;
         result.error = reply.body;
     } else if (reply.status == http_too_many_requests || reply.status == http_unavailable) {
-        result.outcome = transaction_outcome::refused; // these were not executed
+        result.outcome = transaction_outcome::refused; // not executed
     } else {
-        result.outcome = transaction_outcome::unknown; // anything else may have been
+        result.outcome = transaction_outcome::unknown; // may have been executed
     }
     return result;
 }
@@ -75,7 +76,7 @@
     set_rates();
 }
 
-// All nodes together stay below the limits; the leader's part is the larger one.
+// Splits the store's rate limits among the controllers; the leader gets the largest share.
 void key_value_client::set_rates() {
     double request_share = 1.0;
     double write_share = 1.0;
@@ -90,7 +91,7 @@
 }
 
 awaitable<void> key_value_client::wait_for_budget(request_priority priority, double write_count) {
-    // Leadership is never made to wait by our own bookkeeping.
+    // Leadership requests are never delayed by the local budget; they only count towards it.
     if (priority == request_priority::leadership) {
         auto now = net::steady_now();
         (void)request_budget_.try_take(1, priority, now);
@@ -151,7 +152,8 @@
 
 void key_value_client::on_too_many_writes() {
     if (write_rate_.note_refusal(net::steady_now())) {
-        spdlog::info("the state service allows {} changes a second now", write_rate_.limit());
+        spdlog::info("key-value store write limit lowered to {} operations per second",
+                     write_rate_.limit());
         set_rates();
     }
     write_budget_.drain();
@@ -183,7 +185,7 @@
         auto page = parsed([&] { return wire::parse_range(reply.body); });
         if (!page)
             co_return std::nullopt;
-        // The first page's revision: a watch from there repeats what later pages hold.
+        // Keeps the first page's revision: a watch from there repeats changes in later pages.
         if (after.empty())
             all.revision = page->revision;
         for (auto &item : page->items)
--- a/src/store/keys.hpp
+++ b/src/store/keys.hpp
@@ -1,28 +1,28 @@
-// Names of the records in the key-value store. They are stored data: all versions of the program
-// that run side by side read and write these keys, so a name never changes.
+// Names of the records in the key-value store. All program versions that run side by side read and
+// write these keys, so a name must never change.
 #pragma once
 #include <string>
 
 namespace spindlecroft::store::keys {
 
-// Everything about jobs as users know them; what a watch for jobs covers.
+// Prefix of all job records; a watch for jobs covers it.
 inline constexpr const char *jobs_prefix = "j/";
 // Records of accepted jobs that have not ended.
 inline constexpr const char *active_jobs_prefix = "j/a/";
 // Records of jobs that ended.
 inline constexpr const char *ended_jobs_prefix = "j/e/";
-// Records of which attempt of a task was placed on which machine.
+// Placement records: the attempt and machine of each placed task.
 inline constexpr const char *placements_prefix = "p/";
-// Records of which tasks are done.
+// Records of the tasks that are done.
 inline constexpr const char *done_tasks_prefix = "d/";
-// Records of rounds of machine rentals.
+// Records of the rounds of machine rental requests.
 inline constexpr const char *rentals_prefix = "m/";
 
 // The machine types that the cloud offers.
 inline constexpr const char *machine_types = "c/types";
-// The jobs that fail wherever they run.
+// The jobs whose tasks fail on every machine.
 inline constexpr const char *suspect_jobs = "f/suspects";
-// The leader. Its revision is the fencing token.
+// The leader key. Its revision is the fencing token.
 inline constexpr const char *leader = "leader";
 
 // The record of an active job.
--- a/src/store/request_priority.hpp
+++ b/src/store/request_priority.hpp
@@ -1,17 +1,17 @@
-// Who goes first when the request budget is short.
+// Priorities of requests to the key-value store when the request budget is short.
 #pragma once
 
 namespace spindlecroft::store {
 
-// From the most to the least urgent. The order counts: a budget keeps a reserve for every step up,
-// and group commit sends the more urgent first.
+// Ordered from the most to the least urgent. The order matters: a token bucket keeps a reserve for
+// each higher level, and group commit sends more urgent units first.
 enum class request_priority {
-    leadership,   // taking, keeping and giving up the leader key; never delayed by our own budget
+    leadership,   // leader key and its lease; never delayed by the local budget
     cancel,       // a user cancels a job
-    user_request, // a user submits a job or asks for one
-    placement,    // starts of tasks and rentals of machines
+    user_request, // a user submits a job or queries one
+    placement,    // placements of tasks and rentals of machines
     job_end,      // ends of jobs
-    background,   // what nobody waits for
+    background,   // nothing waits for it
 };
 
 } // namespace spindlecroft::store
--- a/src/store/write_queue.hpp
+++ b/src/store/write_queue.hpp
@@ -1,4 +1,4 @@
-// The order in which writes that wait for the budget have their turn. Pure: it is given the time.
+// The order in which writes wait for the budget. The caller passes in the current time.
 #pragma once
 #include "common/time.hpp"
 #include "store/request_priority.hpp"
@@ -8,28 +8,28 @@
 
 namespace spindlecroft::store {
 
-// The more urgent go first, but not past one that has waited long: while submissions keep coming,
-// rentals and placements would never have their turn.
+// More urgent writes go first, but don't overtake one that has waited longer than write_patience:
+// otherwise a steady stream of submissions would starve rentals and placements.
 class write_queue {
   public:
-    // A place in the queue; valid until it is left.
+    // A position in the queue; valid until leave().
     using ticket = std::list<time_point>::iterator;
     [[nodiscard]] ticket enter(time_point now) { return waiting_.insert(waiting_.end(), now); }
     void leave(ticket place) { waiting_.erase(place); }
-    // Whether the write may try to take its tokens now.
+    // Returns whether the write may try to take its tokens now.
     [[nodiscard]] bool may_proceed(ticket place, request_priority priority, time_point now) const;
-    // The priority with which it takes them: who has waited long takes from the reserve of the more
-    // urgent.
+    // Returns the priority with which the write takes its tokens: one that has waited longer than
+    // write_patience may use the reserve of more urgent writes.
     [[nodiscard]] request_priority effective_priority(ticket place, request_priority priority,
                                                       time_point now) const;
 
   private:
-    std::list<time_point> waiting_; // since when; the longest first
+    std::list<time_point> waiting_; // when each write entered; the oldest first
 };
 
-// Holds a place in a queue and leaves it at the end of its life, also when the coroutine that waits
-// is destroyed. Shares the queue, since at the end of the program such coroutines outlive its
-// owner.
+// Holds a position in a queue and leaves it on destruction, also when the waiting coroutine is
+// destroyed. Shares the queue, because such coroutines outlive the queue's owner at the end of the
+// program.
 class write_queue_entry {
   public:
     write_queue_entry(std::shared_ptr<write_queue> queue, time_point now)
--- a/src/store/write_rate.cpp
+++ b/src/store/write_rate.cpp
@@ -5,7 +5,8 @@
 
 namespace c = constants;
 
-// A single refusal may come of controllers that were busy in the same second.
+// Several refusals within the window are required: a single one may only mean that several
+// controllers were busy in the same second.
 bool write_rate_limit::note_refusal(time_point now) {
     if (!next_)
         return false;
