--- a/src/catalog/job.hpp
+++ b/src/catalog/job.hpp
@@ -22,7 +22,7 @@
 enum class attempt_phase {
     committing, // its placement is being written; no command was sent
     committed,  // the placement is durable; the start may be sent
-    sent,       // a start was sent, also by an earlier leader: possibly running
+    sent,       // a start was sent, or may have been by an earlier leader: possibly running
     fetching,   // the machine fetches the image
     running,
     checkpointing,
--- a/src/records/placement_records.hpp
+++ b/src/records/placement_records.hpp
@@ -41,8 +41,8 @@
   private:
     struct record {
         std::vector<wire::placed_task> tasks;
-        bool write_pending = false;     // a write is in flight
-        bool accepts_placements = true; // accepts further placements
+        bool write_pending = false; // a write is in flight
+        bool accepts_placements = true;
     };
     // Services run for long, so they don't share records with arrays, whose records can then be
     // deleted earlier.
