--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -1,4 +1,4 @@
-// Tasks of a job and images kept by a machine.
+// The tasks of a job that wait for a placement, and a machine's image cache.
 #include "builders.hpp"
 #include "catalog/job.hpp"
 #include "test_time.hpp"
@@ -8,30 +8,30 @@
 using namespace spindlecroft;
 using test::at;
 
-TEST(machines, keep_the_most_recent_images_that_fit) {
-    workers::machine m;
-    m.type.cache_gb = 10;
-    m.use_image("a", 4, at(1));
-    m.use_image("b", 4, at(2));
-    m.use_image("a", 4, at(3));
-    m.use_image("c", 4, at(4));
-    EXPECT_TRUE(m.images.count("a"));
-    EXPECT_FALSE(m.images.count("b"));
-    EXPECT_TRUE(m.images.count("c"));
+TEST(machines, evict_the_least_recently_used_image) {
+    workers::machine machine;
+    machine.type.cache_gb = 10;
+    machine.use_image("a", 4, at(1));
+    machine.use_image("b", 4, at(2));
+    machine.use_image("a", 4, at(3));
+    machine.use_image("c", 4, at(4));
+    EXPECT_TRUE(machine.images.count("a"));
+    EXPECT_FALSE(machine.images.count("b"));
+    EXPECT_TRUE(machine.images.count("c"));
 }
 
-TEST(jobs, a_hundred_thousand_tasks_are_ranges) {
-    catalog::job j;
-    j.spec = test::small_job("job-1");
-    j.spec.tasks = 100'000;
-    j.done.assign(100'000, false);
-    j.done[0] = true;
-    EXPECT_EQ(j.waiting_tasks(), 100'000u);
-    std::uint32_t i = 0;
-    ASSERT_TRUE(j.pop_waiting_task(i));
-    EXPECT_EQ(i, 1u);
-    j.requeue_task(1);
-    EXPECT_EQ(j.requeued.size(), 1u);
-    ASSERT_TRUE(j.pop_waiting_task(i));
-    EXPECT_EQ(i, 1u);
+TEST(jobs, done_tasks_are_skipped_and_requeued_tasks_come_first) {
+    catalog::job job;
+    job.spec = test::small_job("job-1");
+    job.spec.tasks = 100'000;
+    job.done.assign(100'000, false);
+    job.done[0] = true;
+    EXPECT_EQ(job.waiting_tasks(), 100'000u);
+    std::uint32_t index = 0;
+    ASSERT_TRUE(job.pop_waiting_task(index));
+    EXPECT_EQ(index, 1u);
+    job.requeue_task(1);
+    EXPECT_EQ(job.requeued.size(), 1u);
+    ASSERT_TRUE(job.pop_waiting_task(index));
+    EXPECT_EQ(index, 1u);
 }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// Readiness and cancels passed on, as a pure function of what is known of the predecessors.
+// Readiness and cancel propagation as a pure function of the known ends of predecessors.
 #include "catalog/dependency_graph.hpp"
 #include "fairness/chain_order.hpp"
 #include "test_time.hpp"
@@ -16,7 +16,7 @@
 const catalog::predecessor_end done{job_state::done, at(10)};
 const catalog::predecessor_end cancelled{job_state::cancelled, at(10)};
 
-// harvest, then tally and draft, then publish.
+// Returns the graph harvest -> {tally, draft} -> publish.
 dependency_graph diamond() {
     dependency_graph graph;
     graph.add("tally", {"harvest"});
@@ -45,7 +45,7 @@
     EXPECT_EQ(graph.find("publish")->ready_at, at(20));
 }
 
-TEST(dependency_graph, an_end_that_is_told_twice_counts_once) {
+TEST(dependency_graph, a_repeated_end_counts_once) {
     auto graph = diamond();
     graph.note_end("tally", done);
     EXPECT_TRUE(graph.note_end("tally", done).ready.empty());
@@ -60,7 +60,7 @@
     EXPECT_EQ(graph.status_of("publish"), dependency_status::cancelled);
 }
 
-TEST(dependency_graph, a_cancelled_dependent_leaves_its_predecessors_alone) {
+TEST(dependency_graph, a_cancel_does_not_propagate_to_predecessors) {
     auto graph = diamond();
     EXPECT_EQ(graph.note_end("draft", cancelled).cancelled, std::vector<std::string>{"publish"});
     EXPECT_EQ(graph.status_of("tally"), dependency_status::waiting);
@@ -77,20 +77,21 @@
     EXPECT_EQ(graph.status_of("later"), dependency_status::cancelled);
 }
 
-// Whatever the order in which the records are read, the answer is the same.
-TEST(dependency_graph, the_order_of_knowledge_does_not_matter) {
+// Guards against a status that depends on the order in which the records are read.
+TEST(dependency_graph, the_status_does_not_depend_on_the_order_of_reads) {
     using step = std::function<void(dependency_graph &)>;
     std::vector<step> steps{
-        [](auto &g) {
-            g.add("b", {"a"});
-            g.note_end("a", {job_state::cancelled, at(1)}); // as a caller does that knows it
+        [](auto &graph) {
+            graph.add("b", {"a"});
+            // The caller passes on an end that it knows.
+            graph.note_end("a", {job_state::cancelled, at(1)});
         },
-        [](auto &g) {
-            g.add("c", {"b", "x"});
+        [](auto &graph) {
+            graph.add("c", {"b", "x"});
         },
-        [](auto &g) { g.add("d", {"c"}); },
-        [](auto &g) {
-            g.note_end("x", {job_state::done, at(1)});
+        [](auto &graph) { graph.add("d", {"c"}); },
+        [](auto &graph) {
+            graph.note_end("x", {job_state::done, at(1)});
         },
     };
     std::vector<std::size_t> order{0, 1, 2, 3};
@@ -103,18 +104,18 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST(dependency_graph, a_chain_of_any_length_is_followed) {
+TEST(dependency_graph, a_cancel_propagates_along_a_chain_of_100000_jobs) {
     dependency_graph graph;
     constexpr int length = 100'000;
     for (int i = 1; i <= length; ++i)
         graph.add("job-" + std::to_string(i), {"job-" + std::to_string(i - 1)});
-    auto none = [](const std::string &) { return true; };
-    EXPECT_TRUE(graph.unresolved_for("job-" + std::to_string(length), none).empty());
+    auto all_active = [](const std::string &) { return true; };
+    EXPECT_TRUE(graph.unresolved_for("job-" + std::to_string(length), all_active).empty());
     EXPECT_EQ(graph.note_end("job-0", cancelled).cancelled.size(),
               static_cast<std::size_t>(length));
 }
 
-TEST(dependency_graph, what_is_neither_active_nor_ended_is_unresolved) {
+TEST(dependency_graph, predecessors_neither_active_nor_ended_are_unresolved) {
     auto graph = diamond();
     auto active = [](const std::string &id) { return id != "harvest"; };
     EXPECT_EQ(graph.unresolved(active), std::set<std::string>{"harvest"});
@@ -124,10 +125,10 @@
     EXPECT_TRUE(graph.unresolved_for("publish", active).empty());
 }
 
-TEST(dependency_graph, keeps_nothing_of_jobs_that_nobody_waits_for) {
+TEST(dependency_graph, does_not_store_ends_of_jobs_without_dependents) {
     auto graph = diamond();
-    graph.note_end("stranger", done);
-    EXPECT_EQ(graph.end_of("stranger"), nullptr);
+    graph.note_end("unrelated", done);
+    EXPECT_EQ(graph.end_of("unrelated"), nullptr);
     graph.note_end("harvest", done);
     graph.remove("tally");
     EXPECT_NE(graph.end_of("harvest"), nullptr);
@@ -136,27 +137,27 @@
     EXPECT_TRUE(graph.dependents("harvest").empty());
 }
 
-TEST(chain_order, rank_and_due_time_pass_backwards) {
+TEST(chain_order, priority_and_due_times_are_inherited_by_predecessors) {
     auto graph = diamond();
     auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
-        fairness::chain_member m;
-        m.priority = id == "publish" ? priority_class::high : priority_class::low;
-        m.duration = id == "tally" ? 30s : 10s;
+        fairness::chain_member result;
+        result.priority = id == "publish" ? priority_class::high : priority_class::low;
+        result.duration = id == "tally" ? 30s : 10s;
         if (id == "publish")
-            m.due = fairness::due_times{at(100), at(150)};
-        return m;
+            result.due = fairness::due_times{at(100), at(150)};
+        return result;
     };
     auto from = fairness::inherit(graph, member);
     EXPECT_EQ(from.at("tally").due->first, at(90));
     EXPECT_EQ(from.at("draft").due->last, at(140));
-    // By way of the tally, which takes longer than the draft.
+    // Determined by the path through tally, which takes longer than draft.
     EXPECT_EQ(from.at("harvest").due->first, at(60));
     EXPECT_EQ(from.at("harvest").due->last, at(110));
     EXPECT_EQ(from.at("harvest").priority, priority_class::high);
     EXPECT_FALSE(from.count("publish"));
 }
 
-TEST(chain_order, what_is_over_asks_for_nothing) {
+TEST(chain_order, ended_jobs_pass_nothing_on) {
     auto graph = diamond();
     auto member = [](const std::string &id) -> std::optional<fairness::chain_member> {
         if (id == "publish")
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -1,4 +1,5 @@
-// What a controller knows of dependencies from the records alone, whatever it has missed.
+// Dependencies in a controller's job cache, derived from durable records also when changes were
+// missed.
 #include "builders.hpp"
 #include "catalog/job_cache.hpp"
 #include "key_value_stand_in.hpp"
@@ -11,7 +12,7 @@
 
 namespace {
 
-struct caching {
+struct cache_fixture {
     net::asio::io_context io;
     settings::settings conf = test::small_settings();
     test::state_stand_in state{io, conf};
@@ -19,11 +20,11 @@
 
     void put_job(const std::string &id, std::vector<std::string> predecessors,
                  bool cancelled = false) {
-        wire::job_record r{cancelled, wall_at(1), {}, test::small_job(id)};
+        wire::job_record record{cancelled, wall_at(1), {}, test::small_job(id)};
         if (cancelled)
-            r.cancelled_at = wall_at(2);
-        r.spec.predecessors = std::move(predecessors);
-        state.apply({}, {{"j/a/" + id, wire::encode_job_record(r), 0}});
+            record.cancelled_at = wall_at(2);
+        record.spec.predecessors = std::move(predecessors);
+        state.apply({}, {{"j/a/" + id, wire::encode_job_record(record), 0}});
     }
     void put_end(const std::string &id, job_state ended_as) {
         state.apply({}, {{"j/e/" + id, wire::encode_ended({ended_as, 0, wall_at(5)}), 0}});
@@ -45,11 +46,11 @@
         for (int i = 0; i < 100 && !cache.is_loaded(); ++i)
             run(10ms);
     }
-    caching() = default;
-    caching(const caching &) = delete;
-    caching &operator=(const caching &) = delete;
+    cache_fixture() = default;
+    cache_fixture(const cache_fixture &) = delete;
+    cache_fixture &operator=(const cache_fixture &) = delete;
     // NOLINTNEXTLINE(bugprone-exception-escape): a throw here may end the test program
-    ~caching() {
+    ~cache_fixture() {
         cache.stop();
         run(200ms);
     }
@@ -57,40 +58,40 @@
 
 } // namespace
 
-// Records are read in the order of their names, whatever depends on what.
-TEST(job_cache, a_cancelled_predecessor_counts_whichever_record_is_read_first) {
-    caching c;
-    c.put_job("job-2", {}, true);
-    c.put_job("job-1", {"job-2"});
-    c.put_job("job-3", {"job-2"});
-    c.put_job("job-4", {"job-3"});
-    c.load();
+// Records are listed in the order of their keys, so a dependent may come before its predecessor.
+TEST(job_cache, a_cancelled_predecessor_counts_in_any_order_of_reads) {
+    cache_fixture fixture;
+    fixture.put_job("job-2", {}, true);
+    fixture.put_job("job-1", {"job-2"});
+    fixture.put_job("job-3", {"job-2"});
+    fixture.put_job("job-4", {"job-3"});
+    fixture.load();
     for (auto *id : {"job-1", "job-3", "job-4"})
-        EXPECT_EQ(c.cache.dependencies().status_of(id), dependency_status::cancelled) << id;
+        EXPECT_EQ(fixture.cache.dependencies().status_of(id), dependency_status::cancelled) << id;
 }
 
-TEST(job_cache, reads_the_ends_that_it_missed) {
-    caching c;
-    c.put_end("job-1", job_state::done);
-    c.put_end("job-2", job_state::cancelled);
-    c.put_job("job-3", {"job-1"});
-    c.put_job("job-4", {"job-1", "job-2"});
-    c.put_job("job-5", {"job-4"});
-    c.load();
-    EXPECT_EQ(c.cache.dependencies().status_of("job-3"), dependency_status::waiting);
-    ASSERT_TRUE(c.resolve("job-3"));
-    EXPECT_EQ(c.cache.dependencies().status_of("job-3"), dependency_status::ready);
-    ASSERT_TRUE(c.resolve("job-5"));
-    EXPECT_EQ(c.cache.dependencies().status_of("job-5"), dependency_status::cancelled);
+TEST(job_cache, resolves_missed_ends_by_reading_them) {
+    cache_fixture fixture;
+    fixture.put_end("job-1", job_state::done);
+    fixture.put_end("job-2", job_state::cancelled);
+    fixture.put_job("job-3", {"job-1"});
+    fixture.put_job("job-4", {"job-1", "job-2"});
+    fixture.put_job("job-5", {"job-4"});
+    fixture.load();
+    EXPECT_EQ(fixture.cache.dependencies().status_of("job-3"), dependency_status::waiting);
+    ASSERT_TRUE(fixture.resolve("job-3"));
+    EXPECT_EQ(fixture.cache.dependencies().status_of("job-3"), dependency_status::ready);
+    ASSERT_TRUE(fixture.resolve("job-5"));
+    EXPECT_EQ(fixture.cache.dependencies().status_of("job-5"), dependency_status::cancelled);
 }
 
-TEST(job_cache, an_end_that_cannot_be_read_resolves_nothing) {
-    caching c;
-    c.put_job("job-3", {"job-1"});
-    c.put_end("job-1", job_state::done);
-    c.load();
-    c.state.outage = true;
-    EXPECT_FALSE(c.resolve("job-3"));
-    c.state.outage = false;
-    EXPECT_TRUE(c.resolve("job-3"));
+TEST(job_cache, a_failed_read_leaves_the_predecessors_unresolved) {
+    cache_fixture fixture;
+    fixture.put_job("job-3", {"job-1"});
+    fixture.put_end("job-1", job_state::done);
+    fixture.load();
+    fixture.state.outage = true;
+    EXPECT_FALSE(fixture.resolve("job-3"));
+    fixture.state.outage = false;
+    EXPECT_TRUE(fixture.resolve("job-3"));
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,4 +1,4 @@
-// The parts that keep durable records, each alone on a small cluster state.
+// The components that keep durable records, each tested alone on a small cluster state.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "model/cluster_state.hpp"
@@ -40,21 +40,21 @@
         return state.add_job(id, std::move(added));
     }
 
-    catalog::attempt &add_attempt(catalog::job &of, std::uint32_t index,
+    catalog::attempt &add_attempt(catalog::job &job, std::uint32_t index,
                                   attempt_phase phase = attempt_phase::committing) {
         catalog::attempt added;
-        added.task = {of.spec.id, index};
+        added.task = {job.spec.id, index};
         added.number = state.next_attempt_number();
         added.machine = "i-1";
         added.phase = phase;
-        return state.add_attempt(of, std::move(added));
+        return state.add_attempt(job, std::move(added));
     }
 
-    // A task that waits for its placement to be recorded.
-    void add_unplaced(records::placement_records &placements, const std::string &job) {
-        auto &of = state.find_job(job) ? *state.find_job(job) : add_job(job, 1);
-        add_attempt(of, 0);
-        placements.add({job, 0}, of.spec.shape);
+    // Adds a task whose placement is still to be recorded.
+    void add_unplaced(records::placement_records &placements, const std::string &id) {
+        auto &added = state.find_job(id) ? *state.find_job(id) : add_job(id, 1);
+        add_attempt(added, 0);
+        placements.add({id, 0}, added.spec.shape);
     }
 };
 
@@ -67,12 +67,13 @@
 
 std::vector<durable_write> done_writes(records::done_records &part, time_point now) {
     std::vector<durable_write> out;
-    std::size_t room = 100;
-    part.take_writes(out, now, room);
+    std::size_t max_writes = 100;
+    part.take_writes(out, now, max_writes);
     return out;
 }
 
-void see_done(records::done_records &part, catalog::job &job, std::uint32_t index, time_point now) {
+void report_done(records::done_records &part, catalog::job &job, std::uint32_t index,
+                 time_point now) {
     job.done[index] = true;
     ++job.reported_done_count;
     part.note_done(job, index, now);
@@ -82,9 +83,9 @@
 
 // --- placements ---
 
-TEST(placement_records, a_write_names_no_more_jobs_than_its_conditions_allow) {
+TEST(placement_records, jobs_per_write_are_limited_by_its_conditions) {
     small_cluster cluster;
-    cluster.settings.txn_ops = 4; // 16 conditions, 2 of them taken
+    cluster.settings.txn_ops = 4; // 16 conditions, 2 of them for the fence and the record
     records::placement_records placements(cluster.settings, cluster.state);
     for (int number = 0; number < 20; ++number)
         cluster.add_unplaced(placements, fmt::format("job-{}", number));
@@ -100,7 +101,7 @@
         << "the record still names the first 14";
 }
 
-TEST(placement_records, nothing_is_written_to_a_record_while_a_write_of_it_is_under_way) {
+TEST(placement_records, a_record_is_not_rewritten_while_a_write_is_in_flight) {
     small_cluster cluster;
     records::placement_records placements(cluster.settings, cluster.state);
     cluster.add_unplaced(placements, "first");
@@ -112,7 +113,7 @@
     EXPECT_EQ(writes_of(placements, at(100)).size(), 1u);
 }
 
-TEST(placement_records, a_start_may_be_sent_once_the_placement_is_durable) {
+TEST(placement_records, an_attempt_is_committed_once_its_placement_is_durable) {
     small_cluster cluster;
     records::placement_records placements(cluster.settings, cluster.state);
     cluster.add_unplaced(placements, "job");
@@ -125,7 +126,7 @@
     EXPECT_EQ(placed->phase, attempt_phase::committed);
 }
 
-TEST(placement_records, a_refused_placement_is_given_up_and_its_job_pauses) {
+TEST(placement_records, a_refused_placement_is_dropped_and_its_job_pauses) {
     small_cluster cluster;
     records::placement_records placements(cluster.settings, cluster.state);
     cluster.add_unplaced(placements, "job");
@@ -156,7 +157,7 @@
     small_cluster cluster;
     records::done_records done(cluster.settings, cluster.state);
     auto &job = cluster.add_job("job", 3);
-    see_done(done, job, 1, at(1));
+    report_done(done, job, 1, at(1));
     auto writes = done_writes(done, at(1) + constants::done_gap);
     ASSERT_EQ(writes.size(), 1u);
     auto parts = wire::parse_done(writes.front().ops.front().value);
@@ -169,7 +170,7 @@
     EXPECT_TRUE(job.done_durable[1]);
 }
 
-TEST(done_records, a_part_in_a_record_that_has_become_too_large_goes_into_another) {
+TEST(done_records, a_part_of_an_oversized_record_moves_to_another_record) {
     small_cluster cluster;
     auto &job = cluster.add_job("job", 3);
     auto limit = cluster.settings.value_kb;
@@ -178,18 +179,18 @@
     done.load("3-1", {{"job", 0, {true, false, false}}});
     ASSERT_EQ(job.done_record_of_part[0], "3-1");
     cluster.settings.value_kb = limit;
-    see_done(done, job, 1, at(1));
+    report_done(done, job, 1, at(1));
     EXPECT_EQ(job.done_record_of_part[0], "7-1");
     auto writes = done_writes(done, at(1) + constants::done_gap);
     ASSERT_EQ(writes.size(), 1u);
     EXPECT_EQ(writes.front().record_name, "7-1");
 }
 
-TEST(done_records, a_refused_write_is_repeated_after_a_pause) {
+TEST(done_records, a_refused_write_is_retried_after_a_pause) {
     small_cluster cluster;
     records::done_records done(cluster.settings, cluster.state);
     auto &job = cluster.add_job("job", 3);
-    see_done(done, job, 1, at(1));
+    report_done(done, job, 1, at(1));
     auto writes = done_writes(done, at(10));
     ASSERT_EQ(writes.size(), 1u);
     done.on_written(writes.front(), false, at(10));
@@ -218,7 +219,7 @@
     EXPECT_EQ(cluster.state.find_job("job"), nullptr);
 }
 
-TEST(job_ends, a_refused_end_is_tried_again_after_a_pause) {
+TEST(job_ends, a_refused_end_is_retried_after_a_pause) {
     small_cluster cluster;
     records::job_ends ends(cluster.state);
     cluster.add_job("job", 1).cancelled = true;
@@ -240,14 +241,14 @@
     placements.load("3-1", {{"job", 0, 1, "i-1"}}, at(1));
     cleanup.sweep(placements, done, at(1));
     std::vector<durable_write> out;
-    std::size_t room = 1;
-    cleanup.take_writes(out, room);
+    std::size_t max_writes = 1;
+    cleanup.take_writes(out, max_writes);
     EXPECT_TRUE(out.empty());
     cluster.state.release_attempt(job, 0, true);
     cleanup.sweep(placements, done, at(1) + constants::sweep_gap);
-    cleanup.take_writes(out, room);
+    cleanup.take_writes(out, max_writes);
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out.front().ops.front().key, "p/3-1");
     EXPECT_TRUE(out.front().ops.front().value.empty());
-    EXPECT_EQ(room, 0u);
+    EXPECT_EQ(max_writes, 0u);
 }
--- a/tests/store_batch_test.cpp
+++ b/tests/store_batch_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts of group commit: batches, and transactions made of them.
+// Group commit without input or output: batches, and the transactions built from them.
 #include "store/batch.hpp"
 #include "store/transaction.hpp"
 #include "test_time.hpp"
@@ -11,16 +11,16 @@
 
 namespace {
 
-struct told_outcome {
+struct unit_outcome {
     std::string key;
     write_outcome outcome;
     std::uint64_t revision;
-    bool operator==(const told_outcome &) const = default;
+    bool operator==(const unit_outcome &) const = default;
 };
 
-// Makes units that note their outcomes.
-struct units {
-    std::vector<told_outcome> told;
+// Creates units that record their outcomes.
+struct unit_factory {
+    std::vector<unit_outcome> outcomes;
 
     store::write_unit owned(const std::string &key, request_priority priority) {
         store::write_unit unit;
@@ -28,7 +28,7 @@
         unit.priority = priority;
         unit.ops = {{key, "1", 0}};
         unit.on_outcome = [this, key](write_outcome outcome, std::uint64_t revision) {
-            told.push_back({key, outcome, revision});
+            outcomes.push_back({key, outcome, revision});
         };
         return unit;
     }
@@ -53,8 +53,8 @@
 
 } // namespace
 
-TEST(write_batch, is_taken_out_of_the_queue_in_its_order) {
-    units make;
+TEST(write_batch, keeps_the_order_of_the_queue) {
+    unit_factory make;
     std::deque<store::write_unit> waiting;
     for (auto *key : {"a", "b", "c", "d"})
         waiting.push_back(make.owned(key, request_priority::placement));
@@ -63,16 +63,16 @@
     EXPECT_EQ(keys_of(waiting), (key_list{"b", "d"}));
 }
 
-TEST(write_batch, takes_one_unit_that_exceeds_the_limits_alone) {
-    units make;
+TEST(write_batch, includes_a_single_unit_that_exceeds_the_limits) {
+    unit_factory make;
     std::deque<store::write_unit> waiting{make.owned("large", request_priority::placement),
                                           make.owned("small", request_priority::placement)};
     waiting[0].ops[0].value.assign(1000, '1');
     EXPECT_EQ(store::choose_units(waiting, 8, 500), (std::vector<std::size_t>{0}));
 }
 
-TEST(write_batch, drops_only_what_was_given_up) {
-    units make;
+TEST(write_batch, drops_only_expired_units) {
+    unit_factory make;
     store::write_batch batch{make.owned("late", request_priority::user_request),
                              make.owned("in time", request_priority::user_request),
                              make.owned("patient", request_priority::user_request)};
@@ -80,11 +80,11 @@
     batch[1].deadline = at(6);
     store::drop_expired(batch, at(5));
     EXPECT_EQ(keys_of(batch), (key_list{"in time", "patient"}));
-    EXPECT_EQ(make.told, (std::vector<told_outcome>{{"late", write_outcome::unconfirmed, 0}}));
+    EXPECT_EQ(make.outcomes, (std::vector<unit_outcome>{{"late", write_outcome::unconfirmed, 0}}));
 }
 
-TEST(write_batch, is_split_after_a_refusal_with_the_more_urgent_first) {
-    units make;
+TEST(write_batch, is_split_after_a_refusal_keeping_the_more_urgent_units) {
+    unit_factory make;
     std::deque<store::write_unit> waiting{make.owned("next", request_priority::user_request)};
     store::write_batch batch{make.owned("rental", request_priority::placement),
                              make.owned("cancel", request_priority::cancel),
@@ -93,11 +93,11 @@
     store::requeue_after(1, batch, waiting);
     EXPECT_EQ(keys_of(batch), (key_list{"cancel"}));
     EXPECT_EQ(keys_of(waiting), (key_list{"rental", "start", "next"}));
-    EXPECT_TRUE(make.told.empty());
+    EXPECT_TRUE(make.outcomes.empty());
 }
 
-TEST(write_batch, gives_up_the_units_whose_conditions_failed) {
-    units make;
+TEST(write_batch, removes_the_units_whose_conditions_failed) {
+    unit_factory make;
     auto not_owned = make.owned("d", request_priority::user_request);
     not_owned.owns_keys = false;
     store::write_batch batch{make.conditional("a", 3), make.conditional("b", 4),
@@ -107,17 +107,17 @@
     EXPECT_EQ(keys_of(batch), (key_list{"a", "d"}));
 }
 
-TEST(write_batch, tells_every_unit_once) {
-    units make;
+TEST(write_batch, reports_the_outcome_to_every_unit_once) {
+    unit_factory make;
     store::write_batch batch{make.conditional("a", 3), make.conditional("b", 4)};
     store::finish(batch, write_outcome::committed, 7);
     EXPECT_TRUE(batch.empty());
-    EXPECT_EQ(make.told, (std::vector<told_outcome>{{"a", write_outcome::committed, 7},
-                                                    {"b", write_outcome::committed, 7}}));
+    EXPECT_EQ(make.outcomes, (std::vector<unit_outcome>{{"a", write_outcome::committed, 7},
+                                                        {"b", write_outcome::committed, 7}}));
 }
 
-TEST(transaction, expects_the_known_revision_of_every_owned_key_and_the_fence) {
-    units make;
+TEST(transaction, has_conditions_for_every_owned_key_and_the_fence) {
+    unit_factory make;
     store::known_revisions revisions;
     revisions.set("p/1", 5);
     store::write_batch batch{make.owned("p/2", request_priority::background),
@@ -138,7 +138,7 @@
 }
 
 TEST(transaction, has_no_condition_for_a_key_that_is_not_owned) {
-    units make;
+    unit_factory make;
     auto unit = make.owned("p/1", request_priority::user_request);
     unit.owns_keys = false;
     auto made = store::make_transaction({unit}, {}, std::nullopt);
@@ -146,7 +146,7 @@
     EXPECT_FALSE(made.fence);
 }
 
-TEST(known_revisions, are_kept_for_keys_that_are_written_again) {
+TEST(known_revisions, are_kept_for_keys_that_may_be_written_again) {
     store::known_revisions revisions;
     revisions.note_committed({"p/1", "[1]", 0}, 5);
     revisions.note_committed({"j/e/job-1", "{}", 0}, 5);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
-// Changes at the key-value store whose answers are lost, or that are carried out late, after newer
-// ones: the committer and the leader key, against a stand-in.
+// Writes to the key-value store whose responses are lost or that are applied late, after newer
+// ones: the committer and the leader key, tested against a fake store.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "key_value_stand_in.hpp"
@@ -14,16 +14,16 @@
 
 namespace {
 
-struct committing {
+struct committer_fixture {
     net::asio::io_context io;
     settings::settings conf = test::small_settings();
     test::state_stand_in state{io, conf};
     store::committer commits{io, state, conf, "test"};
     std::uint64_t token = 0;
     int fence_failures = 0;
-    std::vector<write_outcome> told;
+    std::vector<write_outcome> outcomes;
 
-    committing() {
+    committer_fixture() {
         token = state.apply({}, {{"leader", "{}", 0}}).revision;
         commits.fence = [this] {
             return std::optional<txn_condition>(txn_condition{"leader", token});
@@ -31,171 +31,178 @@
         net::spawn(io, commits.run(), "commits");
     }
     void write(const std::string &key, const std::string &value) {
-        store::write_unit u;
-        u.owns_keys = true;
-        u.ops = {{key, value, 0}};
-        u.on_outcome = [this](write_outcome how, std::uint64_t) { told.push_back(how); };
-        commits.submit(std::move(u));
+        store::write_unit unit;
+        unit.owns_keys = true;
+        unit.ops = {{key, value, 0}};
+        unit.on_outcome = [this](write_outcome outcome, std::uint64_t) {
+            outcomes.push_back(outcome);
+        };
+        commits.submit(std::move(unit));
     }
-    // Runs until so many outcomes were told.
-    bool until(std::size_t outcomes, seconds time_limit = 10s) {
+    // Runs until this number of outcomes was reported; returns false on a timeout.
+    bool until(std::size_t count, seconds time_limit = 10s) {
         auto limit = net::steady_now() + time_limit;
-        while (told.size() < outcomes && net::steady_now() < limit)
+        while (outcomes.size() < count && net::steady_now() < limit)
             io.run_one_for(50ms);
-        return told.size() >= outcomes;
+        return outcomes.size() >= count;
     }
 };
 
 } // namespace
 
-TEST(late_writes, a_change_without_an_answer_is_settled_once) {
-    for (auto f : {fate::unanswered, fate::held, fate::lost, fate::refused}) {
-        committing c;
-        c.state.next_commits = {f};
-        c.write("p/1", "[1]");
-        ASSERT_TRUE(c.until(1));
-        EXPECT_EQ(c.told[0], write_outcome::committed);
-        EXPECT_EQ(c.state.keys.at("p/1").value, "[1]");
-        auto version = c.state.keys.at("p/1").version;
-        c.state.release_held();
-        EXPECT_EQ(c.state.keys.at("p/1").version, version);
+TEST(late_writes, a_write_without_a_response_is_applied_once) {
+    for (auto commit_fate : {fate::unanswered, fate::held, fate::lost, fate::refused}) {
+        committer_fixture fixture;
+        fixture.state.next_commits = {commit_fate};
+        fixture.write("p/1", "[1]");
+        ASSERT_TRUE(fixture.until(1));
+        EXPECT_EQ(fixture.outcomes[0], write_outcome::committed);
+        EXPECT_EQ(fixture.state.keys.at("p/1").value, "[1]");
+        auto version = fixture.state.keys.at("p/1").version;
+        fixture.state.release_held();
+        EXPECT_EQ(fixture.state.keys.at("p/1").version, version);
     }
 }
 
-TEST(late_writes, a_copy_after_newer_changes_changes_nothing) {
-    committing c;
-    c.write("p/1", "[1]");
-    ASSERT_TRUE(c.until(1));
-    c.state.next_commits = {fate::held};
-    c.write("p/1", "[2]");
-    ASSERT_TRUE(c.until(2));
-    c.write("p/1", "[3]");
-    ASSERT_TRUE(c.until(3));
-    c.state.release_held();
-    EXPECT_EQ(c.state.keys.at("p/1").value, "[3]");
-    // The next change knows the right version.
-    c.write("p/1", "[4]");
-    ASSERT_TRUE(c.until(4));
-    EXPECT_EQ(c.told, std::vector<write_outcome>(4, write_outcome::committed));
+TEST(late_writes, a_late_copy_does_not_undo_newer_writes) {
+    committer_fixture fixture;
+    fixture.write("p/1", "[1]");
+    ASSERT_TRUE(fixture.until(1));
+    fixture.state.next_commits = {fate::held};
+    fixture.write("p/1", "[2]");
+    ASSERT_TRUE(fixture.until(2));
+    fixture.write("p/1", "[3]");
+    ASSERT_TRUE(fixture.until(3));
+    fixture.state.release_held();
+    EXPECT_EQ(fixture.state.keys.at("p/1").value, "[3]");
+    // The committer knows the right revision for the next write.
+    fixture.write("p/1", "[4]");
+    ASSERT_TRUE(fixture.until(4));
+    EXPECT_EQ(fixture.outcomes, std::vector<write_outcome>(4, write_outcome::committed));
 }
 
-TEST(late_writes, a_copy_of_an_earlier_leader_changes_nothing) {
-    committing c;
-    c.write("p/1", "[1]");
-    ASSERT_TRUE(c.until(1));
-    c.state.next_commits = {fate::held, fate::held, fate::held};
-    c.write("p/1", "[2]");
-    c.until(2, 200ms);
-    c.commits.stop();
-    c.state.apply({}, {{"leader", "{\"next\":1}", 0}}); // another leads
-    c.state.release_held();
-    EXPECT_EQ(c.state.keys.at("p/1").value, "[1]");
-    ASSERT_TRUE(c.until(2));
-    EXPECT_EQ(c.told[1], write_outcome::unconfirmed);
+TEST(late_writes, a_late_copy_of_an_earlier_leader_is_not_applied) {
+    committer_fixture fixture;
+    fixture.write("p/1", "[1]");
+    ASSERT_TRUE(fixture.until(1));
+    fixture.state.next_commits = {fate::held, fate::held, fate::held};
+    fixture.write("p/1", "[2]");
+    fixture.until(2, 200ms);
+    fixture.commits.stop();
+    fixture.state.apply({}, {{"leader", "{\"next\":1}", 0}}); // another controller leads
+    fixture.state.release_held();
+    EXPECT_EQ(fixture.state.keys.at("p/1").value, "[1]");
+    ASSERT_TRUE(fixture.until(2));
+    EXPECT_EQ(fixture.outcomes[1], write_outcome::unconfirmed);
 }
 
-// Seen on the gap day: after an outage of 91 s no submission was accepted within 200 ms any more.
-TEST(group_commit, what_its_user_has_given_up_is_not_sent_after_an_outage) {
-    committing c;
-    c.commits.fence = nullptr;
-    c.state.outage = true;
+// Guards against sending expired requests after an outage: after one of 91 s in the guion_gap
+// scenario no submission was accepted within 200 ms any more.
+TEST(group_commit, expired_units_are_not_sent_after_an_outage) {
+    committer_fixture fixture;
+    fixture.commits.fence = nullptr;
+    fixture.state.outage = true;
     for (int i = 0; i < 200; ++i) {
-        store::write_unit u;
-        u.conditions = {{"j/a/job-" + std::to_string(i % 40), 0}};
-        u.ops = {{u.conditions[0].key, "{}", 0}};
-        u.deadline = net::steady_now() + 300ms;
-        u.on_outcome = [&](write_outcome how, std::uint64_t) { c.told.push_back(how); };
-        c.commits.submit(std::move(u));
+        store::write_unit unit;
+        unit.conditions = {{"j/a/job-" + std::to_string(i % 40), 0}};
+        unit.ops = {{unit.conditions[0].key, "{}", 0}};
+        unit.deadline = net::steady_now() + 300ms;
+        unit.on_outcome = [&](write_outcome outcome, std::uint64_t) {
+            fixture.outcomes.push_back(outcome);
+        };
+        fixture.commits.submit(std::move(unit));
     }
-    ASSERT_TRUE(c.until(200, 5s));
-    EXPECT_EQ(std::count(c.told.begin(), c.told.end(), write_outcome::unconfirmed), 200);
-    c.state.outage = false;
-    auto before = c.state.commits;
-    c.write("j/a/job-new", "{}");
-    ASSERT_TRUE(c.until(201));
-    EXPECT_EQ(c.told.back(), write_outcome::committed);
-    EXPECT_EQ(c.state.commits, before + 1);
-    EXPECT_EQ(c.state.keys.count("j/a/job-0"), 0u);
+    ASSERT_TRUE(fixture.until(200, 5s));
+    EXPECT_EQ(
+        std::count(fixture.outcomes.begin(), fixture.outcomes.end(), write_outcome::unconfirmed),
+        200);
+    fixture.state.outage = false;
+    auto before = fixture.state.commits;
+    fixture.write("j/a/job-new", "{}");
+    ASSERT_TRUE(fixture.until(201));
+    EXPECT_EQ(fixture.outcomes.back(), write_outcome::committed);
+    EXPECT_EQ(fixture.state.commits, before + 1);
+    EXPECT_EQ(fixture.state.keys.count("j/a/job-0"), 0u);
 }
 
-TEST(late_writes, the_fence_is_asked_about_when_its_key_moved) {
-    committing c;
-    // Our own raise of the token came through late: without a word to whoever holds the fence the
-    // committer would try for ever.
-    auto moved = c.state.apply({}, {{"leader", "{\"raise\":1}", 0}}).revision;
-    c.commits.on_fence_failed = [&] {
-        ++c.fence_failures;
-        c.token = moved;
+TEST(late_writes, a_failed_fence_condition_is_reported) {
+    committer_fixture fixture;
+    // Our own raise of the fencing token was applied late. Unless the owner of the fence is
+    // notified, the committer retries without end.
+    auto moved = fixture.state.apply({}, {{"leader", "{\"raise\":1}", 0}}).revision;
+    fixture.commits.on_fence_failed = [&] {
+        ++fixture.fence_failures;
+        fixture.token = moved;
     };
-    c.write("p/1", "[1]");
-    ASSERT_TRUE(c.until(1));
-    EXPECT_EQ(c.told[0], write_outcome::committed);
-    EXPECT_EQ(c.fence_failures, 1);
+    fixture.write("p/1", "[1]");
+    ASSERT_TRUE(fixture.until(1));
+    EXPECT_EQ(fixture.outcomes[0], write_outcome::committed);
+    EXPECT_EQ(fixture.fence_failures, 1);
 }
 
 namespace {
 
-struct membership_alone {
+struct member_fixture {
     net::asio::io_context io;
     settings::settings conf = test::small_settings();
     test::state_stand_in state{io, conf};
     membership::member member{io, conf, state};
     int elected = 0, deposed = 0;
-    std::uint64_t told = 0;
+    std::uint64_t announced_token = 0;
 
-    membership_alone() {
+    member_fixture() {
         member.on_elected = [this] { ++elected; };
         member.on_deposed = [this] { ++deposed; };
-        member.on_token = [this](std::uint64_t t) { told = t; };
+        member.on_token = [this](std::uint64_t token) { announced_token = token; };
         member.records = [] { return membership::member::records_view{}; };
         net::spawn(io, member.run(), "membership");
     }
-    bool until(const std::function<bool()> &what, seconds time_limit = 10s) {
+    bool until(const std::function<bool()> &condition, seconds time_limit = 10s) {
         auto limit = net::steady_now() + time_limit;
-        while (!what() && net::steady_now() < limit)
+        while (!condition() && net::steady_now() < limit)
             io.run_one_for(50ms);
-        return what();
+        return condition();
     }
 };
 
 } // namespace
 
-TEST(leader_key, a_raise_that_comes_through_late_is_found) {
-    membership_alone m;
-    ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
-    auto first = m.member.token();
-    m.state.next_commits = {fate::held};
-    m.member.request_token_raise();
-    ASSERT_TRUE(m.until([&] { return m.state.commits >= 2; }));
-    m.until([] { return false; }, 300ms); // the raise's own read finds nothing new
-    EXPECT_EQ(m.member.token(), first);
-    m.state.release_held();
-    m.member.request_leader_key_check(); // as the committer does when the fence fails
-    ASSERT_TRUE(m.until([&] { return m.member.token() > first; }, 3s));
-    EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
-    EXPECT_EQ(m.told, m.member.token());
-    EXPECT_TRUE(m.member.leading());
+TEST(leader_key, a_token_raise_that_is_applied_late_is_found) {
+    member_fixture fixture;
+    ASSERT_TRUE(fixture.until([&] { return fixture.member.leading(); }));
+    auto first = fixture.member.token();
+    fixture.state.next_commits = {fate::held};
+    fixture.member.request_token_raise();
+    ASSERT_TRUE(fixture.until([&] { return fixture.state.commits >= 2; }));
+    fixture.until([] { return false; }, 300ms); // the read after the raise finds nothing new
+    EXPECT_EQ(fixture.member.token(), first);
+    fixture.state.release_held();
+    fixture.member.request_leader_key_check(); // as the committer does when the fence fails
+    ASSERT_TRUE(fixture.until([&] { return fixture.member.token() > first; }, 3s));
+    EXPECT_EQ(fixture.member.token(), fixture.state.keys.at("leader").version);
+    EXPECT_EQ(fixture.announced_token, fixture.member.token());
+    EXPECT_TRUE(fixture.member.leading());
 }
 
-TEST(leader_key, who_finds_another_in_it_gives_way) {
-    membership_alone m;
-    ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
-    m.state.leases[99] = true;
-    m.state.apply({}, {{"leader", R"({"node":"n1","incarnation":"x","raise":0})", 99}});
-    m.member.request_leader_key_check();
-    EXPECT_TRUE(m.until([&] { return m.deposed == 1; }, 3s));
-    EXPECT_FALSE(m.member.leading());
+TEST(leader_key, a_leader_that_finds_another_leader_steps_down) {
+    member_fixture fixture;
+    ASSERT_TRUE(fixture.until([&] { return fixture.member.leading(); }));
+    fixture.state.leases[99] = true;
+    fixture.state.apply({}, {{"leader", R"({"node":"n1","incarnation":"x","raise":0})", 99}});
+    fixture.member.request_leader_key_check();
+    EXPECT_TRUE(fixture.until([&] { return fixture.deposed == 1; }, 3s));
+    EXPECT_FALSE(fixture.member.leading());
 }
 
-TEST(leader_key, a_candidacy_without_an_answer_leads_only_with_its_own_key) {
-    for (auto f : {fate::unanswered, fate::held, fate::lost}) {
-        membership_alone m;
-        m.state.next_commits = {f};
-        m.until([&] { return m.state.commits >= 1; });
-        m.until([] { return false; }, 300ms);
-        m.state.release_held(); // its lease has ended by then
-        ASSERT_TRUE(m.until([&] { return m.member.leading(); }));
-        EXPECT_EQ(m.member.token(), m.state.keys.at("leader").version);
-        EXPECT_TRUE(m.state.leases[m.state.keys.at("leader").lease]);
+TEST(leader_key, a_candidate_without_a_response_leads_only_with_its_own_key) {
+    for (auto commit_fate : {fate::unanswered, fate::held, fate::lost}) {
+        member_fixture fixture;
+        fixture.state.next_commits = {commit_fate};
+        fixture.until([&] { return fixture.state.commits >= 1; });
+        fixture.until([] { return false; }, 300ms);
+        fixture.state.release_held(); // its lease has ended by then
+        ASSERT_TRUE(fixture.until([&] { return fixture.member.leading(); }));
+        EXPECT_EQ(fixture.member.token(), fixture.state.keys.at("leader").version);
+        EXPECT_TRUE(fixture.state.leases[fixture.state.keys.at("leader").lease]);
     }
 }
