--- a/src/catalog/cancelled_record.hpp
+++ b/src/catalog/cancelled_record.hpp
@@ -5,10 +5,10 @@
 
 namespace spindlecroft::catalog {
 
-// Returns the job's record marked as cancelled, in at most most_bytes (encoded) if possible. The
+// Returns the job's record marked as cancelled, in at most max_bytes (encoded) if possible. The
 // predecessors are removed; fields that only restrict where tasks may run are dropped if the record
 // is too long.
 wire::job_record cancelled_record(wire::job_record record, wall_time cancelled_at,
-                                  std::size_t most_bytes);
+                                  std::size_t max_bytes);
 
 } // namespace spindlecroft::catalog
--- a/src/catalog/dependency_graph.cpp
+++ b/src/catalog/dependency_graph.cpp
@@ -6,10 +6,10 @@
 template <class Time>
 void basic_dependency_graph<Time>::add(const std::string &job,
                                        const std::vector<std::string> &predecessors) {
-    auto [place, inserted] = nodes_.try_emplace(job);
+    auto [entry, inserted] = nodes_.try_emplace(job);
     if (!inserted)
         return;
-    auto &added = place->second;
+    auto &added = entry->second;
     added.predecessors = predecessors;
     added.unfinished_predecessors = predecessors.size();
     bool cancelled = false;
--- a/src/records/placement_records.cpp
+++ b/src/records/placement_records.cpp
@@ -42,7 +42,7 @@
     }
     into.tasks.push_back(task);
     // Prevents a second start: the task may be on the machine, or a start command in transit, until
-    // a heartbeat of the machine under our fencing token rules it out.
+    // a heartbeat of the machine under the current fencing token rules it out.
     catalog::attempt attempt;
     attempt.task = {task.job, task.index};
     attempt.number = task.attempt;
--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -33,12 +33,12 @@
 }
 
 std::vector<std::string> suspect_record::suspects_that_fit() const {
-    auto most = max_record_bytes(settings_);
+    auto max_bytes = max_record_bytes(settings_);
     auto bytes = wire::suspects_bytes("");
     std::vector<std::string> jobs;
     for (const auto &id : state_.failures().suspects()) {
         bytes += wire::suspects_bytes(id);
-        if (bytes > most)
+        if (bytes > max_bytes)
             break;
         jobs.push_back(id);
     }
--- a/src/store/batch.cpp
+++ b/src/store/batch.cpp
@@ -45,10 +45,10 @@
         return std::any_of(unit.ops.begin(), unit.ops.end(), written) ||
                std::any_of(unit.conditions.begin(), unit.conditions.end(), written);
     }
-    void add(std::size_t place, const write_unit &unit) {
+    void add(std::size_t position, const write_unit &unit) {
         for (auto &change : unit.ops)
             written_.insert(change.key);
-        chosen_.push_back(place);
+        chosen_.push_back(position);
         ops_ += static_cast<int>(unit.ops.size());
         bytes_ += bytes_of(unit);
         conditions_ += conditions_of(unit);
@@ -65,13 +65,13 @@
     std::size_t conditions_ = 1; // one for the fence
 };
 
-std::vector<std::size_t> places_by_priority(const std::deque<write_unit> &waiting) {
-    std::vector<std::size_t> places(waiting.size());
-    std::iota(places.begin(), places.end(), std::size_t{0});
-    std::stable_sort(places.begin(), places.end(), [&](auto left, auto right) {
+std::vector<std::size_t> positions_by_priority(const std::deque<write_unit> &waiting) {
+    std::vector<std::size_t> positions(waiting.size());
+    std::iota(positions.begin(), positions.end(), std::size_t{0});
+    std::stable_sort(positions.begin(), positions.end(), [&](auto left, auto right) {
         return waiting[left].priority < waiting[right].priority;
     });
-    return places;
+    return positions;
 }
 
 bool conflicts(const write_unit &unit, const std::set<std::string> &failed_keys) {
@@ -85,18 +85,18 @@
 std::vector<std::size_t> choose_units(const std::deque<write_unit> &waiting, int max_ops,
                                       std::size_t max_bytes) {
     selection selected(max_ops, max_bytes);
-    auto places = places_by_priority(waiting);
-    for (auto place : places) {
-        auto &unit = waiting[place];
+    auto positions = positions_by_priority(waiting);
+    for (auto position : positions) {
+        auto &unit = waiting[position];
         // Background units don't enlarge a transaction that carries more urgent ones.
         if (unit.priority == request_priority::background && !selected.empty() &&
-            waiting[places.front()].priority != request_priority::background)
+            waiting[positions.front()].priority != request_priority::background)
             break;
         if (!selected.empty() && !selected.has_room_for(unit))
             continue;
         if (selected.writes_key_of(unit))
             continue;
-        selected.add(place, unit);
+        selected.add(position, unit);
         if (selected.full())
             break;
     }
@@ -109,9 +109,9 @@
     write_batch batch;
     // Erases from the end, so that the remaining positions stay valid.
     // NOLINTNEXTLINE(modernize-loop-convert): clang 14 does not compile std::views::reverse.
-    for (auto place = chosen.rbegin(); place != chosen.rend(); ++place) {
-        batch.push_back(std::move(waiting[*place]));
-        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*place));
+    for (auto position = chosen.rbegin(); position != chosen.rend(); ++position) {
+        batch.push_back(std::move(waiting[*position]));
+        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*position));
     }
     std::reverse(batch.begin(), batch.end());
     return batch;
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -180,14 +180,14 @@
 awaitable<bool> committer::settled_by_earlier_copy(const transaction &sent, write_batch &batch) {
     if (!sent.outcome_unknown)
         co_return false;
-    auto own = co_await find_earlier_copy(sent);
-    if (!own) {
+    auto earlier = co_await find_earlier_copy(sent);
+    if (!earlier) {
         finish(batch, write_outcome::unconfirmed);
         co_return true;
     }
-    if (own->applied)
-        handle_commit(batch, own->revision);
-    co_return own->applied;
+    if (earlier->applied)
+        handle_commit(batch, earlier->revision);
+    co_return earlier->applied;
 }
 
 // Reads back one written value after an unknown outcome, since an earlier copy of this transaction
--- a/src/store/key_value_client.cpp
+++ b/src/store/key_value_client.cpp
@@ -102,19 +102,20 @@
         co_await wait_for_request_budget(priority);
         co_return;
     }
-    write_queue_entry place(write_queue_, net::steady_now());
-    auto raised = co_await wait_for_write_budget(place, priority, write_count);
-    co_await wait_for_request_budget(raised);
+    write_queue_entry entry(write_queue_, net::steady_now());
+    auto effective_priority = co_await wait_for_write_budget(entry, priority, write_count);
+    co_await wait_for_request_budget(effective_priority);
 }
 
-awaitable<request_priority> key_value_client::wait_for_write_budget(const write_queue_entry &place,
+awaitable<request_priority> key_value_client::wait_for_write_budget(const write_queue_entry &entry,
                                                                     request_priority priority,
                                                                     double write_count) {
     for (;;) {
         auto now = net::steady_now();
-        auto raised = place.effective_priority(priority, now);
-        if (place.may_proceed(priority, now) && write_budget_.try_take(write_count, raised, now))
-            co_return raised;
+        auto effective_priority = entry.effective_priority(priority, now);
+        if (entry.may_proceed(priority, now) &&
+            write_budget_.try_take(write_count, effective_priority, now))
+            co_return effective_priority;
         co_await net::sleep_for(budget_poll);
     }
 }
--- a/src/store/key_value_client.hpp
+++ b/src/store/key_value_client.hpp
@@ -59,7 +59,7 @@
 class key_value_client {
   public:
     key_value_client(net::asio::io_context &io, const settings::settings &settings);
-    virtual ~key_value_client() = default; // tests substitute a fake
+    virtual ~key_value_client() = default; // tests substitute a fake store
 
     // Reads one key.
     virtual net::awaitable<std::optional<key_lookup>> get(std::string key,
@@ -101,7 +101,7 @@
     // Returns when the budgets admit one request with this number of write operations.
     net::awaitable<void> wait_for_budget(request_priority priority, double write_count);
     // Waits for the write budget; returns the priority with which the writes were admitted.
-    net::awaitable<request_priority> wait_for_write_budget(const write_queue_entry &place,
+    net::awaitable<request_priority> wait_for_write_budget(const write_queue_entry &entry,
                                                            request_priority priority,
                                                            double write_count);
     net::awaitable<void> wait_for_request_budget(request_priority priority);
--- a/src/store/write_queue.cpp
+++ b/src/store/write_queue.cpp
@@ -4,15 +4,15 @@
 
 namespace spindlecroft::store {
 
-bool write_queue::may_proceed(ticket place, request_priority priority, time_point now) const {
-    if (priority <= request_priority::cancel || waiting_.empty() || waiting_.front() == *place)
+bool write_queue::may_proceed(ticket position, request_priority priority, time_point now) const {
+    if (priority <= request_priority::cancel || waiting_.empty() || waiting_.front() == *position)
         return true;
     return now - waiting_.front() <= constants::write_patience;
 }
 
-request_priority write_queue::effective_priority(ticket place, request_priority priority,
+request_priority write_queue::effective_priority(ticket position, request_priority priority,
                                                  time_point now) const {
-    bool waited_long = now - *place > constants::write_patience;
+    bool waited_long = now - *position > constants::write_patience;
     return waited_long ? std::min(priority, request_priority::cancel) : priority;
 }
 
--- a/src/store/write_queue.hpp
+++ b/src/store/write_queue.hpp
@@ -15,12 +15,13 @@
     // A position in the queue; valid until leave().
     using ticket = std::list<time_point>::iterator;
     [[nodiscard]] ticket enter(time_point now) { return waiting_.insert(waiting_.end(), now); }
-    void leave(ticket place) { waiting_.erase(place); }
+    void leave(ticket position) { waiting_.erase(position); }
     // Returns whether the write may try to take its tokens now.
-    [[nodiscard]] bool may_proceed(ticket place, request_priority priority, time_point now) const;
+    [[nodiscard]] bool may_proceed(ticket position, request_priority priority,
+                                   time_point now) const;
     // Returns the priority with which the write takes its tokens: one that has waited longer than
     // write_patience may use the reserve of more urgent writes.
-    [[nodiscard]] request_priority effective_priority(ticket place, request_priority priority,
+    [[nodiscard]] request_priority effective_priority(ticket position, request_priority priority,
                                                       time_point now) const;
 
   private:
