--- a/src/records/suspect_record.cpp
+++ b/src/records/suspect_record.cpp
@@ -15,8 +15,8 @@
             state_.failures().restore_suspect(id, now);
 }
 
-// Guards against a new leader that tries every task of a job that fails everywhere once more, and
-// blames the machines for it.
+// Makes the suspects durable. Otherwise a new leader would retry every task of a job that fails on
+// all machines, and attribute the failures to the machines.
 void suspect_record::take_writes(std::vector<durable_write> &out, time_point now) {
     if (write_pending_ || !elapsed(last_write_, constants::suspects_write_interval, now))
         return;
@@ -33,12 +33,12 @@
 }
 
 std::vector<std::string> suspect_record::suspects_that_fit() const {
-    auto most = max_record_bytes(settings_);
+    auto max_bytes = max_record_bytes(settings_);
     auto bytes = wire::suspects_bytes("");
     std::vector<std::string> jobs;
     for (const auto &id : state_.failures().suspects()) {
         bytes += wire::suspects_bytes(id);
-        if (bytes > most)
+        if (bytes > max_bytes)
             break;
         jobs.push_back(id);
     }
--- a/src/store/batch.cpp
+++ b/src/store/batch.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Bytes that a written key adds to a transaction besides its name and its value.
+// Bytes that an operation adds to a transaction besides its key and value.
 constexpr std::size_t op_overhead = 64;
-// So many conditions for each change may go into one transaction.
+// Conditions that the store accepts in a transaction for each of its operations.
 constexpr std::size_t conditions_per_op = 4;
 
 std::size_t bytes_of(const write_unit &unit) {
@@ -19,12 +19,12 @@
     return bytes;
 }
 
-// At most; written keys that are owned become conditions too.
+// Returns an upper bound: keys that the unit owns become conditions too.
 std::size_t conditions_of(const write_unit &unit) {
     return unit.conditions.size() + unit.ops.size();
 }
 
-// A transaction that units are added to.
+// Collects the queue positions of the units that fit into one transaction.
 class selection {
   public:
     selection(int max_ops, std::size_t max_bytes)
@@ -38,16 +38,17 @@
                bytes_ + bytes_of(unit) <= max_bytes_ &&
                conditions_ + conditions_of(unit) <= max_conditions_;
     }
-    // A key that one unit of the transaction writes is not touched by another.
+    // Returns whether a selected unit writes a key of this unit: no other unit of a transaction may
+    // write it or have a condition on it.
     [[nodiscard]] bool writes_key_of(const write_unit &unit) const {
         auto written = [&](auto &touched) { return written_.count(touched.key) > 0; };
         return std::any_of(unit.ops.begin(), unit.ops.end(), written) ||
                std::any_of(unit.conditions.begin(), unit.conditions.end(), written);
     }
-    void add(std::size_t place, const write_unit &unit) {
+    void add(std::size_t position, const write_unit &unit) {
         for (auto &change : unit.ops)
             written_.insert(change.key);
-        chosen_.push_back(place);
+        chosen_.push_back(position);
         ops_ += static_cast<int>(unit.ops.size());
         bytes_ += bytes_of(unit);
         conditions_ += conditions_of(unit);
@@ -64,13 +65,13 @@
     std::size_t conditions_ = 1; // one for the fence
 };
 
-std::vector<std::size_t> places_by_priority(const std::deque<write_unit> &waiting) {
-    std::vector<std::size_t> places(waiting.size());
-    std::iota(places.begin(), places.end(), std::size_t{0});
-    std::stable_sort(places.begin(), places.end(), [&](auto left, auto right) {
+std::vector<std::size_t> positions_by_priority(const std::deque<write_unit> &waiting) {
+    std::vector<std::size_t> positions(waiting.size());
+    std::iota(positions.begin(), positions.end(), std::size_t{0});
+    std::stable_sort(positions.begin(), positions.end(), [&](auto left, auto right) {
         return waiting[left].priority < waiting[right].priority;
     });
-    return places;
+    return positions;
 }
 
 bool conflicts(const write_unit &unit, const std::set<std::string> &failed_keys) {
@@ -84,18 +85,18 @@
 std::vector<std::size_t> choose_units(const std::deque<write_unit> &waiting, int max_ops,
                                       std::size_t max_bytes) {
     selection selected(max_ops, max_bytes);
-    auto places = places_by_priority(waiting);
-    for (auto place : places) {
-        auto &unit = waiting[place];
-        // What nobody waits for does not make a transaction larger that somebody waits for.
+    auto positions = positions_by_priority(waiting);
+    for (auto position : positions) {
+        auto &unit = waiting[position];
+        // Background units don't enlarge a transaction that carries more urgent ones.
         if (unit.priority == request_priority::background && !selected.empty() &&
-            waiting[places.front()].priority != request_priority::background)
+            waiting[positions.front()].priority != request_priority::background)
             break;
         if (!selected.empty() && !selected.has_room_for(unit))
             continue;
         if (selected.writes_key_of(unit))
             continue;
-        selected.add(place, unit);
+        selected.add(position, unit);
         if (selected.full())
             break;
     }
@@ -106,11 +107,11 @@
 
 write_batch take_units(std::deque<write_unit> &waiting, const std::vector<std::size_t> &chosen) {
     write_batch batch;
-    // From the end, so that the places that are left stay valid.
+    // Erases from the end, so that the remaining positions stay valid.
     // NOLINTNEXTLINE(modernize-loop-convert): clang 14 does not compile std::views::reverse.
-    for (auto place = chosen.rbegin(); place != chosen.rend(); ++place) {
-        batch.push_back(std::move(waiting[*place]));
-        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*place));
+    for (auto position = chosen.rbegin(); position != chosen.rend(); ++position) {
+        batch.push_back(std::move(waiting[*position]));
+        waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*position));
     }
     std::reverse(batch.begin(), batch.end());
     return batch;
