--- a/src/fleet/array_demand.cpp
+++ b/src/fleet/array_demand.cpp
@@ -1,3 +1,4 @@
+// Collection of array demand from the unfinished jobs.
 #include "fleet/array_demand.hpp"
 #include <algorithm>
 #include <cmath>
@@ -8,9 +9,9 @@
 
 namespace {
 
-// A task that outlasts its estimate is taken to need this share of it from now on.
-constexpr double least_remaining_share = 0.2;
-// Subtracted from it, the cpus of a task sort in descending order as text.
+// Share of its estimate that a task is assumed to need still when it exceeds the estimate.
+constexpr double min_remaining_share = 0.2;
+// CPU counts are subtracted from this so that keys sort in descending order as text.
 constexpr double descending_base = 1e6;
 
 struct unfinished_work {
@@ -18,7 +19,7 @@
     seconds work{};
 };
 
-// The order of the keys is that in which the kinds are planned for.
+// The keys sort in the order in which the demand is planned.
 std::string demand_key(const job_spec &spec) {
     std::string types;
     if (spec.types)
@@ -30,22 +31,24 @@
 
 unfinished_work unfinished_work_of(const catalog::job &job, const model::cluster_state &state,
                                    time_point now) {
-    unfinished_work left;
-    left.tasks = job.waiting() + static_cast<double>(job.queued.size());
+    unfinished_work unfinished;
+    unfinished.tasks = job.waiting() + static_cast<double>(job.queued.size());
     if (state.failures().is_suspect(job.spec.id))
-        left.tasks = std::min(left.tasks, 1.0); // no room is rented for what fails anyway
-    left.work = left.tasks * state.expected_run_time(job);
+        unfinished.tasks =
+            std::min(unfinished.tasks, 1.0); // no machines are rented for a job that keeps failing
+    unfinished.work = unfinished.tasks * state.expected_run_time(job);
     for (const auto &[index, attempt] : job.live) {
         if (!attempt.holds_resources())
             continue;
-        seconds ran = attempt.ran_for(now);
-        left.work += std::max(least_remaining_share * attempt.estimate, attempt.estimate - ran);
-        ++left.tasks;
+        seconds run_time = attempt.ran_for(now);
+        unfinished.work +=
+            std::max(min_remaining_share * attempt.estimate, attempt.estimate - run_time);
+        ++unfinished.tasks;
     }
-    return left;
+    return unfinished;
 }
 
-// The cpus in use by each team, to which the planned work is added.
+// Tracks the CPUs used by each team, including the planned work.
 class team_limits {
   public:
     team_limits(const model::cluster_state &state, const settings::settings &settings)
@@ -54,7 +57,7 @@
             if (job.spec.shape == job_shape::service)
                 cpus_[job.spec.team] += job.spec.cpus * static_cast<double>(job.live.size());
     }
-    // How many of the tasks the team may run; they count as in use from then on.
+    // Returns how many of the tasks the team may run. They count as used afterwards.
     double admit(const job_spec &spec, double tasks) {
         const auto *team = settings_.find_team(spec.team);
         if (!team || team->cpus_max <= 0 || spec.cpus <= 0)
@@ -74,26 +77,26 @@
 
 std::vector<array_demand> collect_array_demand(const model::cluster_state &state,
                                                const settings::settings &settings, time_point now) {
-    std::map<std::string, array_demand> kinds;
+    std::map<std::string, array_demand> demand_by_key;
     team_limits limits(state, settings);
     for (const auto &[id, job] : state.jobs()) {
         if (job.spec.shape != job_shape::array || job.over() || now < job.backoff_until)
             continue;
-        auto left = unfinished_work_of(job, state, now);
-        if (left.tasks == 0)
+        auto unfinished = unfinished_work_of(job, state, now);
+        if (unfinished.tasks == 0)
             continue;
-        double allowed = limits.admit(job.spec, left.tasks);
+        double allowed = limits.admit(job.spec, unfinished.tasks);
         if (allowed == 0)
             continue;
-        auto &kind = kinds[demand_key(job.spec)];
-        kind.spec = &job.spec;
-        kind.tasks += allowed;
-        kind.work += left.work * allowed / left.tasks;
+        auto &entry = demand_by_key[demand_key(job.spec)];
+        entry.spec = &job.spec;
+        entry.tasks += allowed;
+        entry.work += unfinished.work * allowed / unfinished.tasks;
     }
     std::vector<array_demand> demand;
-    demand.reserve(kinds.size());
-    for (const auto &[key, kind] : kinds)
-        demand.push_back(kind);
+    demand.reserve(demand_by_key.size());
+    for (const auto &[key, entry] : demand_by_key)
+        demand.push_back(entry);
     return demand;
 }
 
--- a/src/fleet/array_demand.hpp
+++ b/src/fleet/array_demand.hpp
@@ -1,4 +1,4 @@
-// What the work of arrays needs, by kind of task.
+// Demand of arrays for machines, by the resources that their tasks need.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -8,16 +8,16 @@
 
 namespace spindlecroft::fleet {
 
-// Tasks of any jobs that need the same resources. Kinds are kept apart: room for small tasks is
-// none for large ones.
+/// The unfinished tasks, of any number of jobs, that need the same resources. Demand is not summed
+/// across different sizes, since small free slots are useless for large tasks.
 struct array_demand {
-    const job_spec *spec = nullptr; // of one of the jobs
+    const job_spec *spec = nullptr; ///< Of one of the jobs.
     double tasks = 0;
-    seconds work{}; // run time that is left
+    seconds work{}; ///< Sum of the remaining run times.
 };
 
-// The unfinished work of arrays, as far as their teams' limits let it run. The kinds with the
-// largest tasks come first.
+/// Returns the unfinished work of arrays, as far as the limits of their teams let it run, largest
+/// tasks first.
 [[nodiscard]] std::vector<array_demand> collect_array_demand(const model::cluster_state &state,
                                                              const settings::settings &settings,
                                                              time_point now);
--- a/src/fleet/deletion_reason.cpp
+++ b/src/fleet/deletion_reason.cpp
@@ -1,3 +1,4 @@
+// Texts of deletion reasons in log messages.
 #include "fleet/deletion_reason.hpp"
 
 namespace spindlecroft::fleet {
@@ -13,9 +14,9 @@
     case deletion_reason::never_came_up:
         return "never came up";
     case deletion_reason::reclaimed:
-        return "taken back";
+        return "reclaimed by the cloud";
     case deletion_reason::outbound_partition:
-        return "does not hear us";
+        return "outbound partition";
     case deletion_reason::quarantined:
         return "quarantined";
     case deletion_reason::slow:
--- a/src/fleet/deletion_reason.hpp
+++ b/src/fleet/deletion_reason.hpp
@@ -1,20 +1,21 @@
-// Why the scheduler deletes a machine.
+// Reasons for deleting a machine.
 #pragma once
 
 namespace spindlecroft::fleet {
 
+/// Why the leader deletes a machine.
 enum class deletion_reason {
-    idle,               // without work for longer than its boot cost justifies
-    failed,             // the cloud lists it as failed
-    silent,             // no heartbeat for too long
-    never_came_up,      // its worker did not report long after the usual boot time
-    reclaimed,          // the cloud takes the spot instance back
-    outbound_partition, // its heartbeats arrive, but nothing reaches it
-    quarantined,        // tasks fail on it that run elsewhere
-    slow,               // measured to be much slower than its type
+    idle,               ///< Without work for longer than its boot cost justifies.
+    failed,             ///< The cloud lists it as failed.
+    silent,             ///< No heartbeat for too long.
+    never_came_up,      ///< No message from its agent long after the usual boot time.
+    reclaimed,          ///< The cloud reclaims the spot instance.
+    outbound_partition, ///< Its heartbeats arrive, but nothing reaches it.
+    quarantined,        ///< Tasks fail on it that run elsewhere.
+    slow,               ///< Measured to be much slower than its type.
 };
 
-// The reason as the log tells it.
+/// Returns the text of the reason for log messages.
 [[nodiscard]] const char *to_text(deletion_reason reason);
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/fleet_manager.cpp
+++ b/src/fleet/fleet_manager.cpp
@@ -1,3 +1,4 @@
+// Connections between the parts of fleet management.
 #include "fleet/fleet_manager.hpp"
 #include "fleet/machine_list.hpp"
 
@@ -50,8 +51,8 @@
 }
 
 void fleet_manager::on_machine_list(const std::vector<listed_machine> &machines,
-                                    time_point asked_at, time_point now) {
-    apply_machine_list(state_, settings_, machines, asked_at, now);
+                                    time_point requested_at, time_point now) {
+    apply_machine_list(state_, settings_, machines, requested_at, now);
 }
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/fleet_manager.hpp
+++ b/src/fleet/fleet_manager.hpp
@@ -1,4 +1,4 @@
-// Decides how many machines of which kind the cluster has.
+// Controls how many machines of each type the cluster rents.
 #pragma once
 #include "common/time.hpp"
 #include "fleet/machine_health.hpp"
@@ -19,22 +19,22 @@
 
 namespace spindlecroft::fleet {
 
-// Joins the parts of the fleet: offers, rental requests, scaling out and in, the cloud's list and
-// the machines' health. It holds no rules of its own.
+/// Connects the parts of fleet management: offers, rental requests, scale out, scale in, machine
+/// lists and machine health. It contains no rules of its own.
 class fleet_manager {
   public:
-    // record_bytes: the largest durable record that may be written.
+    /// record_bytes: the size limit of a durable record.
     fleet_manager(const settings::settings &settings, model::cluster_state &state,
                   std::size_t record_bytes);
-    // The parts refer to each other.
+    // Not copyable, since the parts refer to each other.
     ~fleet_manager() = default;
     fleet_manager(const fleet_manager &) = delete;
     fleet_manager &operator=(const fleet_manager &) = delete;
 
-    // Rents what the waiting work needs and returns what is idle. in_use: copies of the machines
-    // that may get work now.
+    /// Rents machines for the waiting work and deletes idle ones. in_use: copies of the machines
+    /// that may get work now.
     void plan(std::vector<planning::bidder> in_use, time_point now);
-    // Requests the deletion of machines that are silent or of no use.
+    /// Requests the deletion of machines that are silent or unusable.
     void check_machines(time_point now) { health_.check(now); }
 
     // --- rentals ---
@@ -52,13 +52,13 @@
     }
     void on_rented(const std::string &request, const std::vector<std::string> &machines,
                    time_point now);
-    // Returns whether the request was known: then another offer should be looked for at once.
+    /// Returns whether the request was known. If so, another offer should be sought immediately.
     bool on_rent_refused(const std::string &request, time_point now);
     void on_rent_outcome_unknown(const std::string &request, time_point now) {
         requests_.on_outcome_unknown(request, now);
     }
 
-    // --- deletions and the cloud's list ---
+    // --- deletions and machine lists ---
     [[nodiscard]] std::vector<std::string> take_deletions(time_point now) {
         return scale_in_.take_deletions(now);
     }
@@ -68,11 +68,11 @@
     void on_delete_failed(const std::vector<std::string> &machines) {
         scale_in_.on_delete_failed(machines);
     }
-    void on_machine_list(const std::vector<listed_machine> &machines, time_point asked_at,
+    void on_machine_list(const std::vector<listed_machine> &machines, time_point requested_at,
                          time_point now);
 
   private:
-    // Counts the requests that the cloud has not answered, and plans with their machines.
+    /// Adds the machines of the requests that the cloud has not answered yet.
     void add_requested_machines(planned_machines &planned);
 
     const settings::settings &settings_;
--- a/src/fleet/machine_health.cpp
+++ b/src/fleet/machine_health.cpp
@@ -1,3 +1,4 @@
+// Silence survey and the conditions for deleting a machine.
 #include "fleet/machine_health.hpp"
 #include "constants.hpp"
 #include "model/boot_age.hpp"
@@ -7,14 +8,14 @@
 
 namespace {
 
-// With no more machines than these, many silent ones at once prove nothing.
-constexpr double doubt_least_machines = 3;
-constexpr double zone_doubt_least_machines = 2;
-// Added to the time that a machine may take to come up.
+// With no more machines than these, a large share of silent ones does not indicate a partition.
+constexpr double partition_min_machines = 3;
+constexpr double partition_min_zone_machines = 2;
+// Added to the time that a machine may take to boot.
 constexpr seconds boot_margin{5};
 
-// Not if it is listed as running: then it is this process that doesn't hear it, as after a failover
-// in a cut, and it counts as silent.
+// A machine listed as running is excluded: its heartbeats do not reach this process, for instance
+// after a failover during a partition, and it counts as silent.
 bool never_came_up(const workers::machine &machine, seconds boot_age) {
     return !machine.is_up && machine.is_type_known && !machine.running_at &&
            boot_age > constants::boot_late * machine.type.boot_time + boot_margin;
@@ -28,11 +29,13 @@
 } // namespace
 
 seconds machine_health::silent_for(const workers::machine &machine, time_point now) const {
-    // Listed as running without a word to us counts from then. Guards against feeding a machine
-    // that reaches no controller while our commands reach it: its lease ends with all we give.
-    auto began = state_.term().began_at;
-    auto since = machine.is_up ? std::max(machine.last_heartbeat_at.value_or(began), began)
-                               : machine.running_at;
+    // For a machine listed as running whose agent never sent a message, silence begins with that
+    // listing. Otherwise a machine that reaches no controller but receives commands would be given
+    // work, all of which ends with its lease.
+    auto term_began_at = state_.term().began_at;
+    auto since = machine.is_up
+                     ? std::max(machine.last_heartbeat_at.value_or(term_began_at), term_began_at)
+                     : machine.running_at;
     return since ? now - *since : seconds{};
 }
 
@@ -45,36 +48,38 @@
             continue;
         for (auto *tally : {&survey.all, &survey.zones[machine.zone]}) {
             ++tally->observed;
-            // Guards against deleting a large zone that is cut off, machine by machine: they fall
-            // silent one after another, and when the first is, the others have been quiet already.
+            // Prevents the deletion of a large partitioned zone machine by machine: they become
+            // silent one after another, but when the first one does, the others already lack a
+            // recent heartbeat.
             tally->possibly_silent += silent_for(machine, now) > constants::quiet_share * limit;
         }
-        // Nothing waits in the queue of a machine that may be dead.
+        // No task may wait in the queue of a machine that may have failed.
         if (machine.is_silent && !machine.queue.empty())
             state_.clear_queue(machine);
     }
     return survey;
 }
 
-bool machine_health::is_zone_suspected_cut_off(const std::string &zone, time_point now) const {
+bool machine_health::is_zone_suspected_partitioned(const std::string &zone, time_point now) const {
     auto found = zone_suspected_until_.find(zone);
     return found != zone_suspected_until_.end() && found->second > now;
 }
 
 std::optional<deletion_reason> machine_health::reason_to_delete(const workers::machine &machine,
-                                                                bool in_doubt,
+                                                                bool is_suspected_partition,
                                                                 time_point now) const {
-    // In a zone that is cut off, tasks go on until their leases end, and the machines are of use
-    // again after the cut: deleting them at once would end work for nothing.
-    seconds patience = model::silence_limit(settings_) + settings_.lease_duration + constants::cut_patience;
-    if (machine.is_silent && (!in_doubt || silent_for(machine, now) > patience))
+    // In a partitioned zone tasks continue until their leases expire, and the machines are usable
+    // again after the partition. Deleting them immediately would lose that work needlessly.
+    seconds patience =
+        model::silence_limit(settings_) + settings_.lease_duration + constants::cut_patience;
+    if (machine.is_silent && (!is_suspected_partition || silent_for(machine, now) > patience))
         return deletion_reason::silent;
     if (never_came_up(machine, model::boot_age(machine, state_.term(), settings_, now)))
         return deletion_reason::never_came_up;
     if (machine.reclaim_at && (now > *machine.reclaim_at || machine.attempts.empty()))
         return deletion_reason::reclaimed;
-    // Whatever was there has lost its lease; what an earlier leader sent is proven gone only by
-    // this, since the machine never shows our token.
+    // By now every task on the machine has lost its lease. Only the deletion proves gone what an
+    // earlier leader sent, since the machine never shows the token of this one.
     if (machine.outbound_partition_since &&
         now - *machine.outbound_partition_since >
             constants::outbound_partition_leases * settings_.lease_duration)
@@ -88,16 +93,18 @@
 
 void machine_health::check(time_point now) {
     auto survey = survey_silence(now);
-    bool all_in_doubt = survey.all.looks_cut_off(doubt_least_machines, constants::silent_share);
-    // After a cut the machines come back one after another.
+    bool is_fleet_suspected =
+        survey.all.looks_partitioned(partition_min_machines, constants::silent_share);
+    // After a partition the machines return one after another.
     for (const auto &[zone, tally] : survey.zones)
-        if (tally.looks_cut_off(zone_doubt_least_machines, constants::silent_zone_share))
+        if (tally.looks_partitioned(partition_min_zone_machines, constants::silent_zone_share))
             zone_suspected_until_[zone] = now + constants::cut_return;
     for (auto &[name, machine] : state_.machines()) {
         if (machine.is_deleting)
             continue;
-        bool in_doubt = all_in_doubt || is_zone_suspected_cut_off(machine.zone, now);
-        if (auto reason = reason_to_delete(machine, in_doubt, now))
+        bool is_suspected_partition =
+            is_fleet_suspected || is_zone_suspected_partitioned(machine.zone, now);
+        if (auto reason = reason_to_delete(machine, is_suspected_partition, now))
             state_.request_deletion(machine, to_text(*reason));
     }
 }
--- a/src/fleet/machine_health.hpp
+++ b/src/fleet/machine_health.hpp
@@ -1,4 +1,4 @@
-// Which machines are silent, cut off, reclaimed or otherwise of no use, and are to be deleted.
+// Finds machines that are silent, unreachable, reclaimed or otherwise unusable and deletes them.
 #pragma once
 #include "common/time.hpp"
 #include "fleet/deletion_reason.hpp"
@@ -11,21 +11,23 @@
 
 namespace spindlecroft::fleet {
 
-// Marks silent machines and requests the deletion of those that are of no use. Machines that fall
-// silent many at once are spared for a while: rather they, or this process, are cut off than dead.
+/// Marks silent machines and requests the deletion of unusable ones. When many machines fall silent
+/// at once they are spared for some time: a network partition of those machines, or of this
+/// process, is more likely than their simultaneous failure.
 class machine_health {
   public:
     machine_health(const settings::settings &settings, model::cluster_state &state)
         : settings_(settings), state_(state) {}
 
+    /// Checks all machines once.
     void check(time_point now);
 
   private:
-    // How many of some machines have been without a word for some time.
+    /// Counts of the machines in a group and of those without a recent heartbeat.
     struct silence_tally {
         double observed = 0, possibly_silent = 0;
-        [[nodiscard]] bool looks_cut_off(double least, double share) const {
-            return observed > least && possibly_silent > share * observed;
+        [[nodiscard]] bool looks_partitioned(double min_observed, double share) const {
+            return observed > min_observed && possibly_silent > share * observed;
         }
     };
     struct silence_survey {
@@ -33,13 +35,15 @@
         std::map<std::string, silence_tally> zones;
     };
 
+    /// The time since the last sign of life; zero for a machine that has not come up.
     [[nodiscard]] seconds silent_for(const workers::machine &machine, time_point now) const;
-    // Marks the machines that are silent.
+    /// Updates the silence marks of all machines and counts the silent ones per zone.
     silence_survey survey_silence(time_point now);
-    [[nodiscard]] bool is_zone_suspected_cut_off(const std::string &zone, time_point now) const;
-    // in_doubt: the machine's zone, or all machines, look cut off.
-    [[nodiscard]] std::optional<deletion_reason>
-    reason_to_delete(const workers::machine &machine, bool in_doubt, time_point now) const;
+    [[nodiscard]] bool is_zone_suspected_partitioned(const std::string &zone, time_point now) const;
+    /// is_suspected_partition: the machine's zone, or the whole fleet, looks partitioned.
+    [[nodiscard]] std::optional<deletion_reason> reason_to_delete(const workers::machine &machine,
+                                                                  bool is_suspected_partition,
+                                                                  time_point now) const;
 
     const settings::settings &settings_;
     model::cluster_state &state_;
--- a/src/fleet/machine_list.cpp
+++ b/src/fleet/machine_list.cpp
@@ -1,3 +1,4 @@
+// Listed, failed and missing machines.
 #include "fleet/machine_list.hpp"
 #include "fleet/deletion_reason.hpp"
 #include <algorithm>
@@ -9,14 +10,15 @@
 
 namespace {
 
-// A machine's name is remembered for so many lease times after its end, in case a late message
-// names it.
+// The name of a removed machine is remembered for this many lease times plus list lags, since late
+// messages may still name it.
 constexpr int removed_memory_leases = 10;
-// A list is at most so many times the usual lag old.
-constexpr int oldest_list_lags = 2;
+// Maximum age of a list, as a multiple of the usual lag.
+constexpr int max_list_age_lags = 2;
 constexpr seconds list_age_margin{1};
 
-void take_over(model::cluster_state &state, const listed_machine &listed, time_point now) {
+void apply_listed_machine(model::cluster_state &state, const listed_machine &listed,
+                          time_point now) {
     auto &machine = state.find_or_add_machine(listed.id, now);
     state.update_description(machine, listed.type, listed.zone, listed.spot, listed.address);
     if (!machine.listed_at) {
@@ -32,34 +34,35 @@
     }
 }
 
-// Machines that existed before the time that the list describes and are not listed.
-std::vector<std::string> find_gone(const model::cluster_state &state,
-                                   const std::set<std::string> &listed, time_point described) {
-    std::vector<std::string> gone;
+// Returns the machines that existed before the time described by the list but are not listed.
+std::vector<std::string> find_missing(const model::cluster_state &state,
+                                      const std::set<std::string> &listed,
+                                      time_point described_at) {
+    std::vector<std::string> missing;
     for (const auto &[name, machine] : state.machines()) {
-        // Guards against giving up machines that were rented late: many requests wait for the
-        // cloud's limit, and the machine is younger than the wish for it.
-        auto since = machine.listed_at.value_or(machine.known_at);
-        if (!listed.contains(name) && since < described)
-            gone.push_back(name);
+        // Counted from when the machine became known, not from when it was requested: many requests
+        // wait for the cloud's rate limit, and a machine rented late would be taken for missing.
+        auto known_since = machine.listed_at.value_or(machine.known_at);
+        if (!listed.contains(name) && known_since < described_at)
+            missing.push_back(name);
     }
-    return gone;
+    return missing;
 }
 
 } // namespace
 
 void apply_machine_list(model::cluster_state &state, const settings::settings &settings,
-                        const std::vector<listed_machine> &listed_machines, time_point asked_at,
+                        const std::vector<listed_machine> &listed_machines, time_point requested_at,
                         time_point now) {
     std::set<std::string> listed;
-    for (const auto &each : listed_machines) {
-        listed.insert(each.id);
-        if (!state.was_removed(each.id)) // else it is an old list
-            take_over(state, each, now);
+    for (const auto &entry : listed_machines) {
+        listed.insert(entry.id);
+        if (!state.was_removed(entry.id)) // otherwise the list is outdated
+            apply_listed_machine(state, entry, now);
     }
-    auto described = asked_at - oldest_list_lags * settings.list_lag - list_age_margin;
-    for (const auto &name : find_gone(state, listed, described)) {
-        spdlog::info("{}: no longer listed", name);
+    auto described_at = requested_at - max_list_age_lags * settings.list_lag - list_age_margin;
+    for (const auto &name : find_missing(state, listed, described_at)) {
+        spdlog::info("machine {} is no longer listed by the cloud, removing it", name);
         state.remove_machine(name, now);
     }
     state.forget_removed_machines(
--- a/src/fleet/machine_list.hpp
+++ b/src/fleet/machine_list.hpp
@@ -1,4 +1,4 @@
-// Takes over the cloud's list of machines into what is known of the cluster.
+// Applies the cloud's list of machines to the cluster state.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -8,10 +8,10 @@
 
 namespace spindlecroft::fleet {
 
-// Takes over a complete list that was asked for at `asked_at`: listed machines are known from then
-// on, failed ones are deleted, and those that should be listed and are not are gone.
+/// Applies a complete list that was requested at `requested_at`: listed machines become known,
+/// failed ones are deleted, and machines that the list should contain but does not are removed.
 void apply_machine_list(model::cluster_state &state, const settings::settings &settings,
-                        const std::vector<listed_machine> &listed_machines, time_point asked_at,
+                        const std::vector<listed_machine> &listed_machines, time_point requested_at,
                         time_point now);
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/offers.cpp
+++ b/src/fleet/offers.cpp
@@ -1,3 +1,4 @@
+// Choice among the offers of the cloud.
 #include "fleet/offers.hpp"
 #include "bidding/bid.hpp"
 #include "constants.hpp"
@@ -8,11 +9,11 @@
 
 namespace {
 
-// An offer replaces the best one so far only if it is cheaper by more than rounding.
+// Ratio of prices; an offer must be cheaper by more than a rounding error to replace the best one.
 constexpr double cheaper_ratio = 0.999;
 
 int slots_on(const machine_type &type, const job_spec &spec) {
-    return bidding::room{type.cpus, type.gpus, type.memory_gb}.slots(spec);
+    return bidding::resources{type.cpus, type.gpus, type.memory_gb}.slots(spec);
 }
 
 } // namespace
@@ -29,8 +30,8 @@
     auto refused = refused_until_.find(offer);
     if (refused != refused_until_.end() && refused->second > now)
         return false;
-    // Guards against asking many times over for what is sold out: each request costs a call to the
-    // cloud and a part of a record. One asks; more follow when it was filled.
+    // Limits requests for a sold-out offer to one, since each costs a call to the cloud and space
+    // in a record. More follow once that one was filled.
     auto pending = pending_.find(offer);
     return pending == pending_.end() || pending->second < constants::machines_per_request ||
            !sold_out_.contains(offer);
@@ -54,7 +55,7 @@
                 continue;
             if (!may_request({type.name, zone, spot}, now))
                 continue;
-            // Boot time is paid for and waited for.
+            // Boot time is paid for, and the work waits for it.
             double price_per_slot = price / slots * (1 + type.boot_time / constants::rental_use);
             if (!best || price_per_slot < best->price_per_slot * cheaper_ratio)
                 best = planning::rental_offer{&type, zone, spot, slots, price_per_slot};
@@ -64,19 +65,19 @@
 }
 
 double offer_catalog::on_demand_wait_ratio(const job_spec &spec) const {
-    double spot = 0, on_demand = 0; // the least price of room for one task
+    double spot_price = 0, on_demand_price = 0; // lowest price per task
     for (const auto &type : state_.types()) {
         int slots = slots_on(type, spec);
         if (slots < 1 || !planning::type_allowed(spec, type.name))
             continue;
-        if (type.spot_price > 0 && (spot <= 0 || type.spot_price / slots < spot))
-            spot = type.spot_price / slots;
-        if (type.price > 0 && (on_demand <= 0 || type.price / slots < on_demand))
-            on_demand = type.price / slots;
+        if (type.spot_price > 0 && (spot_price <= 0 || type.spot_price / slots < spot_price))
+            spot_price = type.spot_price / slots;
+        if (type.price > 0 && (on_demand_price <= 0 || type.price / slots < on_demand_price))
+            on_demand_price = type.price / slots;
     }
-    if (spot <= 0 || on_demand <= 0)
+    if (spot_price <= 0 || on_demand_price <= 0)
         return 1;
-    return std::clamp(on_demand / spot, 1.0, constants::ordinary_patience);
+    return std::clamp(on_demand_price / spot_price, 1.0, constants::ordinary_patience);
 }
 
 void offer_catalog::note_refused(const offer_key &offer, time_point now) {
--- a/src/fleet/offers.hpp
+++ b/src/fleet/offers.hpp
@@ -14,7 +14,7 @@
 
 namespace spindlecroft::fleet {
 
-// What tells one offer of the cloud from another.
+/// Identifies an offer of the cloud.
 struct offer_key {
     std::string type, zone;
     bool spot = false;
@@ -25,30 +25,32 @@
 [[nodiscard]] offer_key key_of(const planning::rental_offer &offer);
 [[nodiscard]] offer_key key_of(const rental_request &request);
 
+/// Whether an offer is for an on-demand machine or a spot instance.
 enum class price_class { on_demand, spot };
 
-// Finds the cheapest offer for a task and remembers how the cloud answered requests for each offer.
+/// Finds the cheapest offer for a task and remembers how the cloud answered requests for each
+/// offer.
 class offer_catalog {
   public:
     explicit offer_catalog(const model::cluster_state &state) : state_(state) {}
 
-    // The cheapest offer with room for a task of `spec`, sold-out and refused ones left out.
-    // zones: the only zones allowed; null: all.
+    /// Returns the cheapest offer that fits a task of `spec`, except those refused recently or sold
+    /// out. zones: the allowed zones; null allows all.
     [[nodiscard]] std::optional<planning::rental_offer> cheapest(const job_spec &spec,
                                                                  price_class prices,
                                                                  const std::set<std::string> *zones,
                                                                  time_point now) const;
 
-    // How much longer work that may use spot instances waits before on-demand ones are rented for
-    // it, as a ratio.
+    /// The factor by which work that may use spot instances waits longer before on-demand machines
+    /// are rented for it.
     [[nodiscard]] double on_demand_wait_ratio(const job_spec &spec) const;
 
-    // The cloud gave fewer machines than requested, or none.
+    /// To be called when the cloud rented fewer machines than requested, or none.
     void note_refused(const offer_key &offer, time_point now);
-    // The cloud gave all machines that were requested.
+    /// To be called when the cloud rented all requested machines.
     void note_fulfilled(const offer_key &offer);
 
-    // Requests that the cloud has not answered yet, counted anew in each round of planning.
+    // Machines in unanswered requests, counted again in each planning round.
     void clear_pending() { pending_.clear(); }
     void add_pending(const offer_key &offer, int machines) { pending_[offer] += machines; }
 
@@ -57,8 +59,8 @@
 
     const model::cluster_state &state_;
     std::map<offer_key, time_point> refused_until_;
-    std::set<offer_key> sold_out_;     // the last answer was not all that was requested
-    std::map<offer_key, int> pending_; // machines requested, not answered yet
+    std::set<offer_key> sold_out_;     ///< Offers whose last request was not filled.
+    std::map<offer_key, int> pending_; ///< Machines in unanswered requests.
 };
 
 } // namespace spindlecroft::fleet
--- a/src/fleet/rental_requests.cpp
+++ b/src/fleet/rental_requests.cpp
@@ -1,3 +1,4 @@
+// Rental requests, their durable records and the answers of the cloud.
 #include "fleet/rental_requests.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -8,7 +9,7 @@
 
 namespace {
 
-bool asks_for(const rental_request &request, const planning::rental_offer &offer) {
+bool is_for_offer(const rental_request &request, const planning::rental_offer &offer) {
     return request.type == offer.type->name && request.zone == offer.zone &&
            request.spot == offer.spot;
 }
@@ -17,7 +18,7 @@
 
 void rental_requests::load(const std::string &round, const wire::rental_record &record,
                            time_point now) {
-    rounds_[round].written = true;
+    rounds_[round].is_written = true;
     for (const auto &request : record.requests) {
         auto &rental = rentals_[request.request];
         rental.request = request;
@@ -40,28 +41,29 @@
             continue;
         ++requests;
         bytes += wire::rental_bytes(rental.request);
-        if (rental.requested_at == now && !rental.is_durable && asks_for(rental.request, offer) &&
+        if (rental.requested_at == now && !rental.is_durable &&
+            is_for_offer(rental.request, offer) &&
             rental.request.count + count <= constants::machines_per_request) {
             rental.request.count += count;
             return;
         }
     }
     auto name = fmt::format("r-{}-{}", state_.term().first_token, ++request_counter_);
-    rental_request what{name, offer.type->name, offer.zone, offer.spot, count};
-    bytes += wire::rental_bytes(what);
+    rental_request request{name, offer.type->name, offer.zone, offer.spot, count};
+    bytes += wire::rental_bytes(request);
     if (round_began_at_ != now || requests >= constants::rentals_per_record ||
         bytes > record_bytes_) {
         round_began_at_ = now;
         round = round_name(++round_counter_);
     }
     auto &rental = rentals_[name];
-    rental.request = what;
+    rental.request = request;
     rental.round = round;
     rental.requested_at = now;
 }
 
-// A later leader still has to ask the cloud for the names of the request's machines. Only the
-// machines that are neither listed nor gone are kept.
+// A request is open until the cloud has answered it and each of its machines is listed or gone.
+// Machines that are listed or gone are dropped from it.
 bool rental_requests::is_open(tracked_rental &rental) const {
     std::erase_if(rental.machines, [&](const std::string &name) {
         const auto *machine = state_.find_machine(name);
@@ -70,9 +72,9 @@
     return !rental.is_answered || !rental.machines.empty();
 }
 
-// One record for all requests of a round, written before the cloud is asked. It is dropped when
-// every machine is in a list, or gone: until then the next leader has to ask again for the names,
-// or it would rent as many once more.
+// One record holds all requests of a round and is written before the cloud is called. It is deleted
+// once every machine is listed or gone: until then a new leader has to request the names again, or
+// it would rent the machines twice.
 std::vector<rental_record_change> rental_requests::take_record_changes() {
     std::vector<rental_record_change> changes;
     std::map<std::string, std::vector<tracked_rental *>> rentals_of;
@@ -80,10 +82,10 @@
         rentals_of[rental.round].push_back(&rental);
     for (auto &[name, rentals] : rentals_of) {
         auto &round = rounds_[name];
-        if (round.busy)
+        if (round.is_write_pending)
             continue;
         rental_record_change change{name, std::nullopt};
-        if (!round.written) {
+        if (!round.is_written) {
             auto &record = change.record.emplace();
             record.at = state_.term().clock.to_wall(rentals.front()->requested_at);
             for (const auto *rental : rentals)
@@ -92,7 +94,7 @@
                                  [&](auto *rental) { return is_open(*rental); }) > 0) {
             continue;
         }
-        round.busy = true;
+        round.is_write_pending = true;
         changes.push_back(std::move(change));
     }
     return changes;
@@ -102,15 +104,15 @@
     auto found = rounds_.find(round);
     if (found == rounds_.end())
         return;
-    found->second.busy = false;
+    found->second.is_write_pending = false;
     if (outcome == rental_record_outcome::failed)
-        return; // written again
+        return; // the next call of take_record_changes() repeats the write
     if (outcome == rental_record_outcome::dropped) {
         std::erase_if(rentals_, [&](const auto &entry) { return entry.second.round == round; });
         rounds_.erase(found);
         return;
     }
-    found->second.written = true;
+    found->second.is_written = true;
     for (auto &[name, rental] : rentals_)
         if (rental.round == round)
             rental.is_durable = true;
@@ -123,10 +125,10 @@
             rental.retry_at > now)
             continue;
         rental.is_call_pending = true;
-        const auto &what = rental.request;
-        spdlog::info("renting {} {} in {} ({})", what.count, what.type, what.zone,
-                     what.spot ? "spot" : "ordinary");
-        requests.push_back(what);
+        const auto &request = rental.request;
+        spdlog::info("requesting {} machines of type {} in zone {} ({})", request.count,
+                     request.type, request.zone, request.spot ? "spot" : "on-demand");
+        requests.push_back(request);
     }
     return requests;
 }
--- a/src/fleet/rental_requests.hpp
+++ b/src/fleet/rental_requests.hpp
@@ -1,4 +1,4 @@
-// Requests for machines, from the intent to the moment when the cloud lists what it rented.
+// Requests for machines, from the decision to rent until the cloud lists the rented machines.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -16,70 +16,74 @@
 
 namespace spindlecroft::fleet {
 
-// One request to the cloud and how far it has come.
+/// A rental request and its progress.
 struct tracked_rental {
     rental_request request;
-    std::string round;                 // the record that names it
-    time_point requested_at{};         // when the intent arose
-    bool is_durable = false;           // the name is written: the cloud may be asked
-    bool is_call_pending = false;      // a call to the cloud is under way
-    bool is_answered = false;          // machines are known
-    std::vector<std::string> machines; // not yet listed
+    std::string round;                 ///< Name of the record that contains it.
+    time_point requested_at{};         ///< When the decision to rent was made.
+    bool is_durable = false;           ///< The record is written: the cloud may be called.
+    bool is_call_pending = false;      ///< A call to the cloud is in progress.
+    bool is_answered = false;          ///< The cloud has named the machines or refused.
+    std::vector<std::string> machines; ///< Rented machines that no list has shown yet.
     time_point retry_at{};
 };
 
-// A change of one round's durable record.
+/// A pending change of the durable record of one round.
 struct rental_record_change {
     std::string round;
-    std::optional<wire::rental_record> record; // nothing: the record is dropped
+    std::optional<wire::rental_record> record; ///< Empty: the record is deleted.
 };
 
+/// Result of writing a rental record change.
 enum class rental_record_outcome { failed, written, dropped };
 
-// Names each request durably before the cloud is asked, so that a later leader asks again under the
-// same name instead of renting as many machines once more. All requests of a round of planning
-// share a record, as far as it holds.
+/// Records the name of each request durably before calling the cloud, so that a later leader
+/// repeats the request under the same name instead of renting the machines twice. All requests of a
+/// planning round share a record, up to its size limit.
 class rental_requests {
   public:
-    // record_bytes: the largest record that may be written.
+    /// record_bytes: the size limit of a record.
     rental_requests(model::cluster_state &state, std::size_t record_bytes)
         : state_(state), record_bytes_(record_bytes) {}
 
-    // A record of an earlier leader. The cloud is asked once more, and tells the machines' names.
+    /// Loads a record of an earlier leader. Its requests are repeated to learn the machines' names.
     void load(const std::string &round, const wire::rental_record &record, time_point now);
-    // Wishes of one round for the same kind of machine share a request.
+    /// Adds machines to rent. Additions of one round for the same offer share a request.
     void add(const planning::rental_offer &offer, int count, time_point now);
 
     // --- durable records ---
-    // Rounds to be written, and rounds to be dropped since every machine is in a list, or gone.
+    /// Returns the records to write, and those to delete because every machine is listed or gone.
     [[nodiscard]] std::vector<rental_record_change> take_record_changes();
     void on_record_written(const std::string &round, rental_record_outcome outcome);
 
     // --- the cloud ---
-    // Requests that are durable and should be sent to the cloud now.
+    /// Returns the durable requests to send to the cloud now.
     [[nodiscard]] std::vector<rental_request> take_requests(time_point now);
-    // Each returns what was requested; nothing: the request is not known any more.
+    /// Handles the cloud's answer. Returns the request, or nothing if it is no longer known.
     std::optional<rental_request>
     on_rented(const std::string &request, const std::vector<std::string> &machines, time_point now);
+    /// The same for a refusal.
     std::optional<rental_request> on_refused(const std::string &request);
-    // No clear answer came: the request is sent again later.
+    /// To be called when it is unknown whether the cloud has rented; the request is repeated later.
     void on_outcome_unknown(const std::string &request, time_point now);
 
-    // Calls visit(request) for each request that the cloud has not answered.
+    /// Calls visit(request) for each request that the cloud has not answered.
     template <class Visitor>
     void for_each_unanswered(Visitor visit) const;
 
   private:
+    /// The durable record of one round.
     struct round_state {
-        bool written = false, busy = false;
+        bool is_written = false, is_write_pending = false;
     };
     [[nodiscard]] std::string round_name(std::uint64_t number) const;
+    /// Whether a later leader would still have to repeat the request.
     [[nodiscard]] bool is_open(tracked_rental &rental) const;
 
     model::cluster_state &state_;
     std::size_t record_bytes_;
-    std::map<std::string, tracked_rental> rentals_; // by the request's name
-    std::map<std::string, round_state> rounds_;     // by the record's name
+    std::map<std::string, tracked_rental> rentals_; ///< By request name.
+    std::map<std::string, round_state> rounds_;     ///< By record name.
     std::uint64_t request_counter_ = 0, round_counter_ = 0;
     std::optional<time_point> round_began_at_;
 };
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -1,3 +1,4 @@
+// Idle machines and deletions.
 #include "fleet/scale_in.hpp"
 #include "constants.hpp"
 #include "fleet/deletion_reason.hpp"
@@ -10,9 +11,9 @@
         bool has_work = !machine.attempts.empty() || !machine.queue.empty();
         if (!machine.is_up || machine.is_deleting || has_work || spare.contains(name))
             continue;
-        seconds keep =
+        seconds max_idle =
             std::max(constants::idle_least, constants::idle_boots * machine.type.boot_time);
-        if (now - machine.idle_since > keep)
+        if (now - machine.idle_since > max_idle)
             state_.request_deletion(machine, to_text(deletion_reason::idle));
     }
 }
--- a/src/fleet/scale_out.cpp
+++ b/src/fleet/scale_out.cpp
@@ -1,3 +1,4 @@
+// Planning of rentals for replicas, spare capacity and array tasks.
 #include "fleet/scale_out.hpp"
 #include "constants.hpp"
 #include "planning/placement_rules.hpp"
@@ -11,7 +12,7 @@
 
 namespace {
 
-// The job's rules let it run on the machine, whatever else runs there.
+// Whether the job's placement rules allow the machine, regardless of its free resources.
 bool is_allowed_on(const bidder &machine, const job_spec &spec) {
     return (!machine.spot || spec.spot) && planning::type_allowed(spec, machine.type->name) &&
            (!spec.zone || *spec.zone == machine.zone);
@@ -21,13 +22,13 @@
     return is_allowed_on(machine, spec) && machine.critical.fits(spec);
 }
 
-// How many machine slots let work of so much run time start and end within the target.
+// Returns how many machine slots are needed so that the work starts and ends within the target.
 double slots_within(const array_demand &demand, seconds target) {
     seconds average = demand.work / demand.tasks;
     return std::min(demand.tasks, std::ceil(demand.work / (target + average)));
 }
 
-// Places array tasks on the machine until it is full or none is left. Returns how many are left.
+// Places array tasks on the machine while they fit. Returns the number of tasks not placed.
 double fill_with_tasks(bidder &machine, const job_spec &spec, double tasks) {
     for (; tasks > 0 && machine.whole.fits(spec); --tasks)
         machine.whole.take(spec);
@@ -106,13 +107,13 @@
     // A suspect job is retried one task at a time.
     auto waiting = state_.failures().is_suspect(spec.id) ? 1 : job.waiting();
     for (std::uint32_t planned_replicas = 0; planned_replicas < waiting; ++planned_replicas) {
-        auto room = std::find_if(planned.begin(), planned.end(), [&](const bidder &machine) {
-            bool zone_is_full = spec.spread && replicas[machine.zone] >= job.zone_cap();
-            return !zone_is_full && has_room_for_replica(machine, spec);
+        auto host = std::find_if(planned.begin(), planned.end(), [&](const bidder &machine) {
+            bool is_zone_full = spec.spread && replicas[machine.zone] >= job.zone_cap();
+            return !is_zone_full && has_room_for_replica(machine, spec);
         });
-        if (room != planned.end()) {
-            room->hold(spec, seconds{});
-            ++replicas[room->zone];
+        if (host != planned.end()) {
+            host->hold(spec, seconds{});
+            ++replicas[host->zone];
             continue;
         }
         auto zones = zones_open_to(job, replicas);
@@ -134,12 +135,12 @@
 
 void scale_out::plan_spare_replicas(const job_spec &spec, planned_machines &planned,
                                     std::set<std::string> &spare, time_point now) {
-    std::map<std::string, int> spare_in; // by zone
+    std::map<std::string, int> spare_by_zone;
     for (int count = 0; count < settings_.ops.spare_replicas; ++count) {
-        auto *machine = find_spare_room(spec, planned, spare_in);
+        auto *machine = find_spare_machine(spec, planned, spare_by_zone);
         if (machine) {
             machine->hold(spec, seconds{});
-            ++spare_in[machine->zone];
+            ++spare_by_zone[machine->zone];
             if (machine->m)
                 spare.insert(machine->m->name);
         } else if (!rent_for_replica(spec, nullptr, planned, now)) {
@@ -148,14 +149,14 @@
     }
 }
 
-bidder *scale_out::find_spare_room(const job_spec &spec, planned_machines &planned,
-                                   std::map<std::string, int> &spare_in) const {
-    // One after another in different zones where the class is spread, and within a zone where the
-    // fewest array tasks are displaced.
+bidder *scale_out::find_spare_machine(const job_spec &spec, planned_machines &planned,
+                                      std::map<std::string, int> &spare_by_zone) const {
+    // Spare replicas of a class with spread are distributed over the zones. Otherwise the machine
+    // on which the fewest array tasks are displaced is preferred.
     auto is_better = [&](const bidder &machine, const bidder &best) {
-        int here = spare_in[machine.zone], there = spare_in[best.zone];
-        if (spec.spread && here != there)
-            return here < there;
+        int machine_count = spare_by_zone[machine.zone], best_count = spare_by_zone[best.zone];
+        if (spec.spread && machine_count != best_count)
+            return machine_count < best_count;
         return planning::displaced_slots(machine, spec, state_.latest_array()) <
                planning::displaced_slots(best, spec, state_.latest_array());
     };
@@ -178,20 +179,20 @@
     const auto &spec = *demand.spec;
     bool may_use_spot = spec.spot && settings_.ops.spot;
     double needed = slots_within(demand, settings_.ops.drain_target);
-    // Work that may use spot instances waits longer before on-demand ones are paid for: by as much
-    // as they are dearer.
-    double may_wait = needed - slots_within(demand, settings_.ops.drain_target *
-                                                        offers_.on_demand_wait_ratio(spec));
+    // Work that may use spot instances waits longer before on-demand machines are rented, in
+    // proportion to their higher price.
+    double deferrable = needed - slots_within(demand, settings_.ops.drain_target *
+                                                          offers_.on_demand_wait_ratio(spec));
     for (auto &machine : planned)
         if (is_allowed_on(machine, spec))
             needed = fill_with_tasks(machine, spec, needed);
-    // Bounded also here: a job of 100,000 tasks would ask for thousands of machines.
+    // Bounded here as well, since a job of 100,000 tasks would request thousands of machines.
     while (needed > 0 && !is_fleet_full(planned)) {
         std::optional<planning::rental_offer> offer;
         if (may_use_spot)
             offer = offers_.cheapest(spec, price_class::spot, nullptr, now);
         if (!offer) {
-            if (may_use_spot && needed <= may_wait)
+            if (may_use_spot && needed <= deferrable)
                 break;
             offer = offers_.cheapest(spec, price_class::on_demand, nullptr, now);
         }
--- a/src/fleet/scale_out.hpp
+++ b/src/fleet/scale_out.hpp
@@ -1,4 +1,4 @@
-// Plans which machines to rent for what waits: replicas of services, spare capacity, array tasks.
+// Scale out: plans the machines to rent for service replicas, spare capacity and array tasks.
 #pragma once
 #include "common/time.hpp"
 #include "fleet/array_demand.hpp"
@@ -17,28 +17,30 @@
 
 namespace spindlecroft::fleet {
 
-// The machines that a plan counts on: those in use, those that were requested, and those that the
-// plan adds. They are copies: what a plan places on them is placed nowhere else.
+/// The machines available to a plan: those in use, those requested, and those that the plan adds.
+/// They are copies, so tasks placed on them by the plan are not placed in the cluster state.
 using planned_machines = std::vector<planning::bidder>;
 
-// A machine that is requested, but not yet named by the cloud.
+/// Returns a machine that is requested but not yet named by the cloud.
 [[nodiscard]] planning::bidder make_unnamed_machine(const machine_type &type,
                                                     const std::string &zone, bool spot);
 
-// Places the waiting work on the planned machines and requests more where there is no room. The
-// order of the calls is that of importance: each takes what the one before has left.
+/// Places the waiting work on the planned machines and rents more where it does not fit. The
+/// functions are to be called in the order of importance: each uses the capacity left by the
+/// previous one.
 class scale_out {
   public:
     scale_out(const settings::settings &settings, const model::cluster_state &state,
               offer_catalog &offers, rental_requests &requests)
         : settings_(settings), state_(state), offers_(offers), requests_(requests) {}
 
-    // Replicas that no machine could take.
+    /// Plans the waiting replicas of services.
     void plan_replicas(planned_machines &planned, time_point now);
-    // Spare capacity, so that a new replica of a class seen lately starts at once. Returns the
-    // names of the machines that are kept for it.
+    /// Plans spare capacity, so that a new replica of a recently seen class starts immediately.
+    /// Returns the names of the machines kept for it.
     [[nodiscard]] std::set<std::string> plan_spare_capacity(planned_machines &planned,
                                                             time_point now);
+    /// Plans the unfinished work of arrays.
     void plan_array_work(planned_machines &planned, time_point now);
 
   private:
@@ -47,7 +49,8 @@
     [[nodiscard]] bool is_fleet_full(const planned_machines &planned) const;
     planning::bidder &rent(const planning::rental_offer &offer, planned_machines &planned,
                            time_point now);
-    // Rents an on-demand machine that takes a replica. zones: the only ones allowed; null: all.
+    /// Rents an on-demand machine for a replica. zones: the allowed zones; null allows all. Returns
+    /// false if no offer is available or the fleet limit is reached.
     bool rent_for_replica(const job_spec &spec, const std::set<std::string> *zones,
                           planned_machines &planned, time_point now);
     void plan_replicas_of(const catalog::job &job, planned_machines &planned, time_point now);
@@ -56,8 +59,9 @@
                                                       zone_counts &replicas) const;
     void plan_spare_replicas(const job_spec &spec, planned_machines &planned,
                              std::set<std::string> &spare, time_point now);
-    [[nodiscard]] planning::bidder *find_spare_room(const job_spec &spec, planned_machines &planned,
-                                                    std::map<std::string, int> &spare_in) const;
+    [[nodiscard]] planning::bidder *
+    find_spare_machine(const job_spec &spec, planned_machines &planned,
+                       std::map<std::string, int> &spare_by_zone) const;
     void plan_array_demand(const array_demand &demand, planned_machines &planned, time_point now);
 
     const settings::settings &settings_;
--- a/src/reconciliation/command_composer.cpp
+++ b/src/reconciliation/command_composer.cpp
@@ -1,4 +1,4 @@
-// Commands in answers and direct commands.
+// Commands in answers to heartbeats and direct commands.
 #include "reconciliation/command_composer.hpp"
 #include "constants.hpp"
 #include <algorithm>
@@ -20,9 +20,9 @@
     workers::machine &machine;
     channel through;
     start_permission permission;
-    bidding::room room;
+    bidding::resources free;
     std::vector<command> commands;
-    std::vector<command> starts; // after all others
+    std::vector<command> starts; ///< Sent after all other commands.
 };
 
 std::vector<command> command_composer::for_answer(const std::string &machine_name,
@@ -40,31 +40,31 @@
     if (!machine || !machine->is_up || machine->open_direct_commands > 0)
         return {};
     auto commands = compose(*machine, channel::direct, permission, now);
-    bool starts = false;
+    bool has_starts = false;
     for (const auto &composed : commands) {
         if (composed.kind != command_kind::start)
             continue;
-        starts = true;
+        has_starts = true;
         auto *attempt = state_.find_attempt({composed.job, composed.index}, composed.attempt);
         if (attempt && attempt->sent_incarnation == 0) {
-            // Nothing about it is known until the command is resolved.
+            // The start is attributed to this heartbeat until the command is resolved.
             attempt->sent_incarnation = machine->incarnation;
             attempt->sent_sequence = machine->sequence;
         }
     }
-    if (starts)
+    if (has_starts)
         ++machine->open_direct_commands;
     return commands;
 }
 
 bool command_composer::are_starts_current(const std::vector<command> &commands) const {
-    return std::all_of(commands.begin(), commands.end(), [&](const command &given) {
-        if (given.kind != command_kind::start)
+    return std::all_of(commands.begin(), commands.end(), [&](const command &composed) {
+        if (composed.kind != command_kind::start)
             return true;
-        const auto *job = state_.find_job(given.job);
+        const auto *job = state_.find_job(composed.job);
         if (!job || job->over())
             return false;
-        const auto *attempt = state_.find_attempt({given.job, given.index}, given.attempt);
+        const auto *attempt = state_.find_attempt({composed.job, composed.index}, composed.attempt);
         return attempt && !attempt->stop_wanted;
     });
 }
@@ -90,14 +90,14 @@
     if (!elapsed(last_token_raise_, constants::token_bump, now))
         return false;
     const auto &machines = state_.machines();
-    bool wanted = std::any_of(machines.begin(), machines.end(), [&](const auto &entry) {
+    bool is_wanted = std::any_of(machines.begin(), machines.end(), [&](const auto &entry) {
         const auto &machine = entry.second;
         return machine.open_direct_commands == 0 && machine.has_unacknowledged_direct_command() &&
                machine.unresolved_token >= state_.term().token;
     });
-    if (wanted)
+    if (is_wanted)
         last_token_raise_ = now;
-    return wanted;
+    return is_wanted;
 }
 
 std::vector<command> command_composer::compose(workers::machine &machine, channel through,
@@ -120,7 +120,7 @@
 }
 
 void command_composer::add_cleanup(composition &composed, time_point now) const {
-    // A start that may still arrive must not follow a removal: it would start the attempt anew.
+    // A start that arrives after the removal of its attempt would start the attempt again.
     bool may_remove = !composed.machine.has_unacknowledged_command(now);
     if (composed.through != channel::answer && !may_remove)
         return;
@@ -167,9 +167,9 @@
         composed.permission == start_permission::withheld)
         return;
     if (attempt.phase == attempt_phase::committed) {
-        if (!composed.room.fits(job.spec))
-            return; // placed ahead of the room that is being made for it
-        composed.room.take(job.spec);
+        if (!composed.free.fits(job.spec))
+            return; // placed before the resources that are being freed for it are available
+        composed.free.take(job.spec);
     }
     attempt.phase = attempt_phase::sent;
     if (composed.through == channel::answer) {
@@ -179,14 +179,14 @@
     composed.starts.push_back(command_for(attempt, command_kind::start, seconds{}));
 }
 
-bidding::room command_composer::resources_after_stops(workers::machine &machine) const {
-    bidding::room room{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
+bidding::resources command_composer::resources_after_stops(workers::machine &machine) const {
+    bidding::resources free{machine.type.cpus, machine.type.gpus, machine.type.memory_gb};
     state_.for_each_attempt(machine, [&](const catalog::job &job, const catalog::attempt &attempt) {
         bool stops_now = attempt.stop_wanted && attempt.grace <= seconds{};
         if (attempt.possibly_running() && !stops_now)
-            room.take(job.spec);
+            free.take(job.spec);
     });
-    return room;
+    return free;
 }
 
 } // namespace spindlecroft::reconciliation
--- a/src/reconciliation/command_composer.hpp
+++ b/src/reconciliation/command_composer.hpp
@@ -1,5 +1,5 @@
-// Composes the commands for a machine, in the answer to its heartbeat or as a direct command, and
-// keeps account of the direct commands that may still arrive.
+// Composes the commands for a machine, sent in the answer to its heartbeat or as a direct command,
+// and tracks the direct commands that may still arrive.
 #pragma once
 #include "bidding/bid.hpp"
 #include "common/time.hpp"
@@ -12,38 +12,40 @@
 
 namespace spindlecroft::reconciliation {
 
-// Whether tasks may be started now.
+/// Whether commands may include starts.
 enum class start_permission { granted, withheld };
 
+/// Derives the commands for a machine from the attempts on it.
 class command_composer {
   public:
     explicit command_composer(model::cluster_state &state) : state_(state) {}
 
-    // The leadership begins: its token counts as raised just now.
+    /// Begins a leadership term, whose token counts as raised at `now`.
     void begin_term(time_point now) { last_token_raise_ = now; }
 
-    // Commands for the answer to the newest heartbeat.
+    /// Returns the commands for the answer to the newest heartbeat.
     [[nodiscard]] std::vector<command> for_answer(const std::string &machine_name,
                                                   start_permission permission, time_point now);
-    // Commands for a direct command; if it starts tasks, it counts as open until it is resolved.
+    /// Returns the commands to send directly. If they start tasks, the direct command counts as
+    /// open until it is marked as resolved or unresolved.
     [[nodiscard]] std::vector<command> for_direct_command(const std::string &machine_name,
                                                           start_permission permission,
                                                           time_point now);
-    // Whether every start among the commands is still wanted.
+    /// Whether every start among the commands is still wanted.
     [[nodiscard]] bool are_starts_current(const std::vector<command> &commands) const;
 
-    // The worker has answered the direct command, or it was never sent.
+    /// To be called when the agent has answered a direct command, or it was never sent.
     void mark_resolved(const std::string &machine_name);
-    // Nobody knows whether the direct command arrived or will yet arrive.
+    /// To be called when it is unknown whether a direct command arrived or will arrive.
     void mark_unresolved(const std::string &machine_name, std::uint64_t token,
                          std::uint64_t incarnation);
-    // A higher token would prove unresolved commands dead. Not too often: at true the raise counts
-    // as done.
+    /// Whether the token should be raised, which would invalidate unresolved direct commands. If
+    /// true, the raise counts as done, so that raises are spaced by constants::token_bump.
     [[nodiscard]] bool take_token_raise_request(time_point now);
 
   private:
     enum class channel { answer, direct };
-    struct composition; // the commands for one machine while they are composed
+    struct composition; ///< The commands for one machine while they are composed.
 
     std::vector<command> compose(workers::machine &machine, channel through,
                                  start_permission permission, time_point now);
@@ -51,9 +53,9 @@
     void add_for_attempt(composition &composed, const catalog::job &job,
                          catalog::attempt &attempt) const;
     void add_start(composition &composed, const catalog::job &job, catalog::attempt &attempt) const;
-    // The room on the machine once the commands to stop at once, which go before the starts, are
-    // carried out.
-    [[nodiscard]] bidding::room resources_after_stops(workers::machine &machine) const;
+    /// The free resources of the machine once the immediate stops, which precede the starts, have
+    /// been executed.
+    [[nodiscard]] bidding::resources resources_after_stops(workers::machine &machine) const;
 
     model::cluster_state &state_;
     std::optional<time_point> last_token_raise_;
--- a/src/reconciliation/failure_review.cpp
+++ b/src/reconciliation/failure_review.cpp
@@ -1,4 +1,4 @@
-// Suspect jobs and quarantined machines.
+// Handling of suspect jobs and faulty machines.
 #include "reconciliation/failure_review.hpp"
 #include <algorithm>
 #include <spdlog/spdlog.h>
@@ -17,7 +17,9 @@
                                              is_working(job)};
     bool became_suspect = state_.failures().record_failure(failure, now);
     if (became_suspect) {
-        spdlog::info("{}: fails wherever it runs, retried one task at a time", job.spec.id);
+        spdlog::info(
+            "job {} failed on several machines and ran on none: retrying one task at a time",
+            job.spec.id);
         while (!job.queued.empty()) {
             auto index = job.queued.begin()->first;
             state_.remove_from_queue(job, index);
@@ -27,12 +29,12 @@
     machine.probation_until = state_.failures().probation_until(machine.name);
     if (machine.probation_until > now)
         state_.clear_queue(machine);
-    quarantine_faulty();
+    quarantine_faulty_machines();
 }
 
 void failure_review::on_attempt_completed(const catalog::job &job) {
     state_.failures().note_job_works(job.spec.id);
-    quarantine_faulty();
+    quarantine_faulty_machines();
 }
 
 void failure_review::review() {
@@ -43,7 +45,7 @@
         else if (is_working(*job))
             state_.failures().note_job_works(id);
     }
-    quarantine_faulty();
+    quarantine_faulty_machines();
     for (auto &[name, machine] : state_.machines())
         machine.probation_until = state_.failures().probation_until(name);
 }
@@ -57,21 +59,21 @@
 bool failure_review::is_working(const catalog::job &job) const {
     if (job.done_seen > 0)
         return true;
-    seconds proof = state_.failures().required_run_time(job.spec.id);
-    // Between the first and the last report of it: without heartbeats nobody knows whether it still
-    // runs.
+    seconds required = state_.failures().required_run_time(job.spec.id);
+    // Measured up to the last heartbeat that showed it running: without heartbeats it is unknown
+    // whether the task still runs.
     return std::any_of(job.live.begin(), job.live.end(), [&](const auto &entry) {
         const auto &attempt = entry.second;
-        return attempt.running_since && *attempt.running_seen - *attempt.running_since > proof;
+        return attempt.running_since && *attempt.running_seen - *attempt.running_since > required;
     });
 }
 
-void failure_review::quarantine_faulty() {
+void failure_review::quarantine_faulty_machines() {
     for (const auto &name : state_.failures().take_faulty_machines()) {
         auto *machine = state_.find_machine(name);
         if (!machine || machine->is_quarantined)
             continue;
-        spdlog::info("{}: quarantined, tasks fail there", name);
+        spdlog::info("machine {} quarantined: tasks fail on it that should run", name);
         machine->is_quarantined = true;
         state_.withdraw_unsent_attempts(*machine);
     }
--- a/src/reconciliation/failure_review.hpp
+++ b/src/reconciliation/failure_review.hpp
@@ -1,6 +1,5 @@
-// Draws the conclusions from failed attempts: suspect jobs are retried one task at a time, faulty
-// machines are quarantined. The failure ledger holds the facts; this class applies them to the jobs
-// and machines.
+// Applies the findings of the failure ledger to jobs and machines: suspect jobs are retried one
+// task at a time, faulty machines are quarantined.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -9,24 +8,28 @@
 
 namespace spindlecroft::reconciliation {
 
+/// Reports failures to the failure ledger and acts on its findings.
 class failure_review {
   public:
     explicit failure_review(model::cluster_state &state) : state_(state) {}
 
-    // Jobs that an earlier leader found to fail wherever they ran.
+    /// Marks jobs as suspect that an earlier leader found to fail on every machine.
     void restore_suspects(const std::vector<std::string> &jobs, time_point now);
+    /// To be called when an attempt on the machine has exited with an error.
     void on_attempt_failed(workers::machine &machine, catalog::job &job,
                            const catalog::attempt &attempt, time_point now);
-    // A completed attempt shows that the job works.
+    /// To be called when an attempt has completed, which proves that the job works.
     void on_attempt_completed(const catalog::job &job);
-    // To be called from time to time: attempts that run for long enough show that their jobs work.
+    /// To be called periodically. Attempts that have run long enough prove that their jobs work.
     void review();
-    // A suspect job is retried one task at a time, each after a pause.
+    /// Whether a task of the job may be placed now. A suspect job is retried one task at a time,
+    /// each after a pause.
     [[nodiscard]] bool may_retry(const catalog::job &job, time_point now) const;
 
   private:
+    /// Whether a task of the job has completed or an attempt has run long enough.
     [[nodiscard]] bool is_working(const catalog::job &job) const;
-    void quarantine_faulty();
+    void quarantine_faulty_machines();
 
     model::cluster_state &state_;
 };
--- a/src/reconciliation/heartbeat_freshness.hpp
+++ b/src/reconciliation/heartbeat_freshness.hpp
@@ -1,18 +1,19 @@
-// How a heartbeat compares with what is already known of its machine.
+// How a heartbeat relates to what is already known about its machine.
 #pragma once
 
 namespace spindlecroft::reconciliation {
 
+/// How recent a heartbeat is compared with the messages already received from its machine.
 enum class heartbeat_freshness {
-    fresh,
-    stale,    // of the current incarnation, but a newer message came before it
-    obsolete, // of an earlier incarnation, or of a machine that is gone
+    fresh,    ///< Newer than every message received before.
+    stale,    ///< Of the current incarnation, but a newer message arrived first.
+    obsolete, ///< Of an earlier incarnation or a removed machine.
 };
 
-// The way a heartbeat came.
+/// How a heartbeat was transmitted.
 enum class heartbeat_origin {
-    unsolicited,   // sent by the worker of its own accord
-    command_reply, // in the answer to a direct command
+    unsolicited,   ///< Sent by the agent on its own initiative.
+    command_reply, ///< Contained in the reply to a direct command.
 };
 
 } // namespace spindlecroft::reconciliation
--- a/src/reconciliation/heartbeat_reconciler.cpp
+++ b/src/reconciliation/heartbeat_reconciler.cpp
@@ -1,4 +1,4 @@
-// Heartbeats as a whole.
+// Application of heartbeats to machines and their attempts.
 #include "reconciliation/heartbeat_reconciler.hpp"
 #include "constants.hpp"
 #include "reconciliation/lease_time.hpp"
@@ -18,10 +18,10 @@
     if (machine.last_message_at && !received.newer_than(machine.incarnation, machine.sequence))
         return received.incarnation == machine.incarnation ? heartbeat_freshness::stale
                                                            : heartbeat_freshness::obsolete;
-    bool new_incarnation = note_message(machine, received, origin, now);
-    auto starts = reconcile_tasks(machine, received, new_incarnation, now);
+    bool is_new_incarnation = note_message(machine, received, origin, now);
+    auto starts = reconcile_tasks(machine, received, is_new_incarnation, now);
     if (origin == heartbeat_origin::unsolicited)
-        partitions_.check_heartbeat(machine, received, new_incarnation, starts, now);
+        partitions_.check_heartbeat(machine, received, is_new_incarnation, starts, now);
     reconcile_reclaim(machine, received, now);
     if (!machine.attempts.empty() || !machine.queue.empty())
         machine.idle_since = now;
@@ -41,53 +41,53 @@
     });
 }
 
-void heartbeat_reconciler::note_answer(const std::string &machine_name, heartbeat_freshness age,
-                                       time_point now) {
+void heartbeat_reconciler::note_answer(const std::string &machine_name,
+                                       heartbeat_freshness freshness, time_point now) {
     auto *machine = state_.find_machine(machine_name);
     if (!machine)
         return;
     machine->latest_lease_end =
         std::max(machine->latest_lease_end, latest_lease_end(settings_, now));
-    partitions_.note_answer(*machine, age, now);
+    partitions_.note_answer(*machine, freshness, now);
 }
 
 bool heartbeat_reconciler::note_message(workers::machine &machine, const heartbeat &received,
                                         heartbeat_origin origin, time_point now) {
-    bool first = !machine.is_up;
-    bool new_incarnation = machine.last_message_at && received.incarnation > machine.incarnation;
-    bool own = origin == heartbeat_origin::unsolicited;
-    // Guards against running a task twice: the reply to a direct command may overtake an answer
-    // that carries a start, and then does not show a task that the answer will yet begin. Only the
-    // worker's next heartbeat of its own comes after that answer.
-    if (own && received.newer_than(machine.answer_incarnation, machine.answer_sequence))
+    bool is_first = !machine.is_up;
+    bool is_new_incarnation = machine.last_message_at && received.incarnation > machine.incarnation;
+    bool is_unsolicited = origin == heartbeat_origin::unsolicited;
+    // Prevents running a task twice: the reply to a direct command may overtake an answer that
+    // carries a start, and then does not list the task that this answer will still start. Only the
+    // agent's next unsolicited heartbeat is certain to follow the answer.
+    if (is_unsolicited && received.newer_than(machine.answer_incarnation, machine.answer_sequence))
         machine.answer_expires_at.reset();
     machine.incarnation = received.incarnation;
     machine.sequence = received.sequence;
     machine.token = received.token;
     machine.last_message_at = now;
-    if (own || !machine.last_heartbeat_at)
+    if (is_unsolicited || !machine.last_heartbeat_at)
         machine.last_heartbeat_at = now;
-    // Guards against running a task twice: a new incarnation's lease began by itself, before any
-    // answer of ours, and direct commands start tasks in it while heartbeats go unanswered.
-    if (!machine.incarnation_seen_at || new_incarnation)
+    // Prevents running a task twice: the lease of a new incarnation begins without an answer, and
+    // direct commands start tasks in it while its heartbeats go unanswered.
+    if (!machine.incarnation_seen_at || is_new_incarnation)
         machine.incarnation_seen_at = now;
-    if (first || new_incarnation)
+    if (is_first || is_new_incarnation)
         machine.latest_lease_end =
             std::max(machine.latest_lease_end, latest_lease_end(settings_, now));
-    if (first) {
+    if (is_first) {
         machine.is_up = true;
         machine.up_at = now;
         machine.idle_since = now;
         state_.request_planning();
     }
-    if (new_incarnation)
-        machine.idle_since = now; // cut off until now, not idle
-    return new_incarnation;
+    if (is_new_incarnation)
+        machine.idle_since = now; // it was unreachable, not idle
+    return is_new_incarnation;
 }
 
 start_evidence heartbeat_reconciler::reconcile_tasks(workers::machine &machine,
                                                      const heartbeat &received,
-                                                     bool new_incarnation, time_point now) {
+                                                     bool is_new_incarnation, time_point now) {
     machine.cleanup_commands.clear();
     if (!received.tasks.empty() || !machine.attempts.empty())
         machine.mark_changed();
@@ -100,8 +100,8 @@
     for (const auto &task : machine.attempts)
         if (!listed.contains(task))
             missing.push_back(task);
-    auto seen = new_incarnation ? workers::evidence::new_incarnation
-                                : workers::evidence::missing_from_heartbeat;
+    auto seen = is_new_incarnation ? workers::evidence::new_incarnation
+                                   : workers::evidence::missing_from_heartbeat;
     auto starts = start_evidence::none;
     for (const auto &task : missing) {
         auto *attempt = state_.find_attempt(task);
@@ -129,12 +129,13 @@
                                          time_point now) {
     machine.reclaim_at = now + notice;
     state_.withdraw_unsent_attempts(machine);
-    // What can't finish or save in time starts again elsewhere at once.
+    // A task that cannot finish before the reclaim is stopped now, so that it restarts elsewhere
+    // sooner.
     state_.for_each_attempt(machine, [&](const catalog::job &job, catalog::attempt &attempt) {
-        seconds ran = attempt.ran_for(now);
-        seconds left = std::max(seconds{}, attempt.estimate - ran);
+        seconds run_time = attempt.ran_for(now);
+        seconds remaining = std::max(seconds{}, attempt.estimate - run_time);
         if (attempt.possibly_running() && job.spec.shape == job_shape::array &&
-            left > notice * constants::reclaim_notice_tolerance)
+            remaining > notice * constants::reclaim_notice_tolerance)
             state_.request_stop(attempt, std::min(notice, job.spec.checkpoint_duration));
     });
 }
--- a/src/reconciliation/heartbeat_reconciler.hpp
+++ b/src/reconciliation/heartbeat_reconciler.hpp
@@ -1,5 +1,5 @@
-// Squares a whole heartbeat with the stored state: what the worker says of itself, of its tasks,
-// and of a reclaim of its machine.
+// Reconciles a whole heartbeat with the stored state: what the agent reports about itself, its
+// tasks, and a reclaim of its machine.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -14,6 +14,7 @@
 
 namespace spindlecroft::reconciliation {
 
+/// Applies heartbeats to the cluster state.
 class heartbeat_reconciler {
   public:
     heartbeat_reconciler(model::cluster_state &state, const settings::settings &settings,
@@ -21,21 +22,21 @@
         : state_(state), settings_(settings), tasks_(state, failures, std::move(on_done)),
           partitions_(state, settings) {}
 
-    // Takes in a heartbeat. One that is not fresh changes nothing but the description of its
-    // machine.
+    /// Applies a heartbeat. One that is not fresh updates only the description of its machine.
     heartbeat_freshness reconcile(const heartbeat &received, heartbeat_origin origin,
                                   time_point now);
-    // Neither the heartbeat nor what is possibly running on its machine names a task.
+    /// Whether the heartbeat lists no task and no attempt is possibly running on its machine.
     [[nodiscard]] bool has_no_tasks(const heartbeat &received) const;
-    // A heartbeat of this age was answered: the worker's lease may now last until then.
-    void note_answer(const std::string &machine_name, heartbeat_freshness age, time_point now);
+    /// Notes that a heartbeat was answered now, which may have renewed the agent's lease.
+    void note_answer(const std::string &machine_name, heartbeat_freshness freshness,
+                     time_point now);
 
   private:
-    // Notes the message itself; returns whether it is the first of a new incarnation.
+    /// Records the message itself. Returns whether it is the first of a new incarnation.
     bool note_message(workers::machine &machine, const heartbeat &received, heartbeat_origin origin,
                       time_point now);
     [[nodiscard]] start_evidence reconcile_tasks(workers::machine &machine,
-                                                 const heartbeat &received, bool new_incarnation,
+                                                 const heartbeat &received, bool is_new_incarnation,
                                                  time_point now);
     void reconcile_reclaim(workers::machine &machine, const heartbeat &received, time_point now);
     void begin_reclaim(workers::machine &machine, seconds notice, time_point now);
--- a/src/reconciliation/lease_monitor.cpp
+++ b/src/reconciliation/lease_monitor.cpp
@@ -1,4 +1,4 @@
-// Expired leases and cancelled tasks that are still there.
+// Expired leases and overdue cancellations.
 #include "reconciliation/lease_monitor.hpp"
 #include "constants.hpp"
 #include "workers/attempt_liveness.hpp"
@@ -11,7 +11,7 @@
     for (auto &[name, machine] : state_.machines()) {
         if (now <= machine.latest_lease_end || machine.attempts.empty())
             continue;
-        auto tasks = machine.attempts; // a copy: releasing changes the set
+        auto tasks = machine.attempts; // copied because releasing an attempt modifies the set
         for (const auto &task : tasks) {
             const auto *attempt = state_.find_attempt(task);
             if (attempt &&
@@ -36,7 +36,7 @@
     if (!machine || machine->is_deleting)
         return;
     if (now - job.cancelled_at > constants::cancel_delete_share * settings_.cancel_deadline)
-        state_.request_deletion(*machine, "a cancelled task may still be there");
+        state_.request_deletion(*machine, "a task of a cancelled job may still be running");
     else if (!machine->last_message_at ||
              now - *machine->last_message_at > settings_.heartbeat_interval / 2)
         state_.mark_for_direct_command(attempt.machine);
--- a/src/reconciliation/lease_monitor.hpp
+++ b/src/reconciliation/lease_monitor.hpp
@@ -1,5 +1,5 @@
-// Periodic checks on machines that are not heard from: leases that expired, and cancelled tasks
-// that may still be there.
+// Periodic checks on machines whose agents do not respond: expired leases, and tasks of cancelled
+// jobs that may still be running.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -7,15 +7,16 @@
 
 namespace spindlecroft::reconciliation {
 
+/// Releases attempts whose lease has expired and enforces cancellations.
 class lease_monitor {
   public:
     lease_monitor(model::cluster_state &state, const settings::settings &settings)
         : state_(state), settings_(settings) {}
 
-    // Gives up the attempts on machines that were unanswered for longer than their lease.
+    /// Releases the attempts on machines whose lease has certainly expired.
     void release_expired(time_point now);
-    // Presses for an end of cancelled tasks: by a direct command at first, at last by deleting the
-    // machine.
+    /// Has the tasks of cancelled jobs stopped, first by direct commands and finally by deleting
+    /// their machines.
     void enforce_cancellations(time_point now);
 
   private:
--- a/src/reconciliation/lease_time.hpp
+++ b/src/reconciliation/lease_time.hpp
@@ -1,4 +1,4 @@
-// How long a worker's lease may last by our clock.
+// Bounds on an agent's lease as measured by the leader's clock.
 #pragma once
 #include "common/time.hpp"
 #include "constants.hpp"
@@ -6,12 +6,13 @@
 
 namespace spindlecroft::reconciliation {
 
-// The longest that a lease may last, given that the worker's clock may be slower than ours.
+/// The longest time that a lease may last, since the agent's clock may run slower than the
+/// leader's.
 [[nodiscard]] inline seconds max_lease_duration(const settings::settings &settings) {
     return settings.lease_duration * (1 + constants::clock_drift) + constants::lease_slack;
 }
 
-// When a lease that is renewed at `renewed_at` has surely ended.
+/// The time at which a lease renewed at `renewed_at` has certainly expired.
 [[nodiscard]] inline time_point latest_lease_end(const settings::settings &settings,
                                                  time_point renewed_at) {
     return renewed_at + settings.lease_duration * (1 + constants::clock_drift) +
--- a/src/reconciliation/partition_detector.hpp
+++ b/src/reconciliation/partition_detector.hpp
@@ -1,8 +1,8 @@
-// Finds machines with an outbound partition: their heartbeats reach us, our answers don't reach
-// them. Each task given to such a machine would be lost for a lease.
+// Detects machines with an outbound partition: their heartbeats arrive, but the leader's answers do
+// not reach them. Each task given to such a machine would be lost for the duration of a lease.
 //
-// The evidence is what their heartbeats don't show: a token that was announced in an answer, starts
-// that were in an answer, or an incarnation that ended although it had been answered.
+// The evidence is what their heartbeats fail to show: a token announced in an answer, or starts
+// sent in an answer. An incarnation that ended although it had been answered is evidence as well.
 #pragma once
 #include "common/time.hpp"
 #include "model/cluster_state.hpp"
@@ -12,33 +12,35 @@
 
 namespace spindlecroft::reconciliation {
 
-// What a heartbeat shows of the starts in the answers to earlier ones.
+/// What a heartbeat shows about starts sent in answers to earlier heartbeats.
 enum class start_evidence {
-    none,
-    not_received, // a start is not listed though its answer should have arrived
+    none,         ///< Nothing that contradicts their arrival.
+    not_received, ///< A start is not listed although its answer should have arrived.
 };
 
+/// Marks machines with an outbound partition, which get no new work until the mark is cleared.
 class partition_detector {
   public:
     partition_detector(model::cluster_state &state, const settings::settings &settings)
         : state_(state), settings_(settings) {}
 
-    // Notes that a heartbeat of this age was answered with the present token: from now on later
-    // heartbeats should show it.
-    void note_answer(workers::machine &machine, heartbeat_freshness age, time_point now);
-    // Looks at a fresh heartbeat that the worker sent of its own accord.
-    void check_heartbeat(workers::machine &machine, const heartbeat &received, bool new_incarnation,
-                         start_evidence starts, time_point now);
+    /// Notes that a heartbeat was answered with the current token, which later heartbeats should
+    /// show.
+    void note_answer(workers::machine &machine, heartbeat_freshness freshness, time_point now);
+    /// Updates the mark from a fresh, unsolicited heartbeat.
+    void check_heartbeat(workers::machine &machine, const heartbeat &received,
+                         bool is_new_incarnation, start_evidence starts, time_point now);
 
   private:
     void clear_if_acknowledged(workers::machine &machine, const heartbeat &received,
                                start_evidence starts);
-    void clear_if_lease_outlasted(workers::machine &machine, bool new_incarnation, time_point now);
+    void clear_if_lease_outlasted(workers::machine &machine, bool is_new_incarnation,
+                                  time_point now);
     void count_missed_acknowledgement(workers::machine &machine, const heartbeat &received,
                                       start_evidence starts, time_point now);
-    [[nodiscard]] bool is_partitioned(const workers::machine &machine, bool new_incarnation,
+    [[nodiscard]] bool is_partitioned(const workers::machine &machine, bool is_new_incarnation,
                                       time_point now) const;
-    // The longest time from an answer to the next heartbeat that shows it.
+    /// The longest time from an answer to the heartbeat that acknowledges it.
     [[nodiscard]] seconds max_acknowledgement_delay() const;
 
     model::cluster_state &state_;
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Completed tasks of a job before its own mean tells how fast a machine is.
+// Completed tasks of a job before their mean run time serves as reference for a machine's speed.
 constexpr int speed_reference_tasks = 3;
-// Limits of a single measurement of a machine's speed, relative to the mean.
-constexpr double least_speed_sample = 0.1;
-constexpr double most_speed_sample = 3.0;
+// Bounds on one measurement of a machine's speed, relative to the mean.
+constexpr double min_speed_sample = 0.1;
+constexpr double max_speed_sample = 3.0;
 
 command cleanup_command(command_kind kind, const task_status &status) {
     return {kind, status.job, status.index, status.attempt, seconds{}};
@@ -79,14 +79,14 @@
     auto liveness = assess_attempt(attempt, machine, {seen, state_.term().first_token, now});
     if (liveness == workers::attempt_liveness::possibly_live)
         return start_evidence::none;
-    // A new incarnation ended the task: that says nothing of whether the start arrived.
-    bool start_ignored = seen == workers::evidence::missing_from_heartbeat &&
-                         attempt.phase == attempt_phase::sent && !attempt.inherited;
+    // If a new incarnation ended the task, that does not show whether the start arrived.
+    bool is_start_not_received = seen == workers::evidence::missing_from_heartbeat &&
+                                 attempt.phase == attempt_phase::sent && !attempt.inherited;
     if (liveness == workers::attempt_liveness::start_dropped)
         attempt.phase = attempt_phase::committed;
     else
         state_.release_attempt(job, attempt.task.index, true);
-    return start_ignored ? start_evidence::not_received : start_evidence::none;
+    return is_start_not_received ? start_evidence::not_received : start_evidence::none;
 }
 
 void task_reconciler::reconcile_unknown(workers::machine &machine, catalog::job *job,
@@ -101,7 +101,7 @@
 
 void task_reconciler::reconcile_unknown_exit(workers::machine &machine, catalog::job *job,
                                              const task_status &status, time_point now) {
-    // A completed task is completed, whoever started it.
+    // A completed task counts regardless of the attempt that completed it.
     if (is_new_result(job, status)) {
         mark_task_done(*job, status.index, now);
         if (auto *other = state_.find_attempt({status.job, status.index})) {
@@ -111,7 +111,7 @@
                 state_.release_attempt(*job, status.index, false);
         }
     }
-    // Kept until its being done is durable: losing it would lose the result.
+    // The agent keeps it until the completion is durable; otherwise the result could be lost.
     if (!awaits_durability(job, status))
         machine.cleanup_commands.push_back(cleanup_command(command_kind::remove, status));
 }
@@ -121,8 +121,8 @@
     if (attempt.phase != attempt_phase::running) {
         attempt.running_since = now;
         state_.request_planning();
-        spdlog::debug("{}/{} runs on {} ({} {}) {:.1f} s after it was accepted, {:.1f} s after "
-                      "its placement",
+        spdlog::debug("task {}/{} is running on machine {} ({} {}), {:.1f} s after its job was "
+                      "accepted and {:.1f} s after its placement",
                       attempt.task.job, attempt.task.index, machine.name, machine.type.name,
                       machine.zone, (now - job.accepted_at).count(),
                       (now - attempt.created_at).count());
@@ -139,10 +139,10 @@
     state_.request_planning();
     attempt.phase = attempt_phase::exited;
     attempt.cause = status.cause;
-    bool result = false; // the worker keeps it until it is durable
+    bool is_result = false; // the agent keeps a result until it is durable
     switch (status.cause) {
     case exit_cause::done:
-        result = job.spec.shape == job_shape::array && !job.over();
+        is_result = job.spec.shape == job_shape::array && !job.over();
         attempt_completed(machine, job, attempt, now);
         break;
     case exit_cause::error:
@@ -154,14 +154,14 @@
         state_.clear_queue(machine);
         break;
     case exit_cause::unknown:
-        // The job's user may not have uploaded its image yet.
+        // The user may not have uploaded the job's image yet.
         job.backoff_until = now + constants::refused_pause;
         break;
     case exit_cause::stopped:
     case exit_cause::none:
         break;
     }
-    if (result)
+    if (is_result)
         return;
     state_.release_attempt(job, attempt.task.index, true);
     machine.cleanup_commands.push_back(cleanup_command(command_kind::remove, status));
@@ -172,27 +172,28 @@
     state_.failures().note_machine_works(machine.name, attempt.created_at);
     machine.note_image_use(job.spec.image, job.spec.image_gb, now);
     if (job.spec.shape == job_shape::array && !job.over()) {
-        seconds ran = attempt.ran_for(now);
-        if (ran > seconds{})
-            measure_run_time(machine, job, ran);
+        seconds run_time = attempt.ran_for(now);
+        if (run_time > seconds{})
+            measure_run_time(machine, job, run_time);
         mark_task_done(job, attempt.task.index, now);
     }
     failures_.on_attempt_completed(job);
 }
 
-void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job, seconds ran) {
-    seconds normal = ran * std::max(machine.speed, constants::speed_floor);
-    // Compared with the job's other tasks, since estimates err a job at a time.
+void task_reconciler::measure_run_time(workers::machine &machine, catalog::job &job,
+                                       seconds run_time) {
+    seconds normalized = run_time * std::max(machine.speed, constants::speed_floor);
+    // Compared with other tasks of the same job, since the error of an estimate is common to a job.
     if (job.took_count >= speed_reference_tasks) {
         seconds mean = job.took_sum / job.took_count;
-        double sample = std::clamp(mean / ran, least_speed_sample, most_speed_sample);
+        double sample = std::clamp(mean / run_time, min_speed_sample, max_speed_sample);
         machine.speed =
             (1 - constants::speed_gain) * machine.speed + constants::speed_gain * sample;
         ++machine.speed_samples;
     }
-    job.took_sum += normal;
+    job.took_sum += normalized;
     ++job.took_count;
-    state_.estimates().measured(job.spec.job_class, job.spec.estimate, normal);
+    state_.estimates().measured(job.spec.job_class, job.spec.estimate, normalized);
 }
 
 void task_reconciler::mark_task_done(catalog::job &job, std::uint32_t index, time_point now) {
@@ -215,21 +216,21 @@
     adopted.created_at = now;
     adopted.running_since = now;
     adopted.estimate = state_.expected_run_time(job);
-    auto &kept = state_.add_attempt(job, std::move(adopted));
-    state_.request_stop(kept, seconds{});
-    spdlog::info("{}: adopted {}/{} attempt {}", machine.name, status.job, status.index,
-                 status.attempt);
+    auto &stored = state_.add_attempt(job, std::move(adopted));
+    state_.request_stop(stored, seconds{});
+    spdlog::info("machine {}: unknown task {}/{} adopted as attempt {}, stop requested",
+                 machine.name, status.job, status.index, status.attempt);
 }
 
 void task_reconciler::remove_from_waiting(catalog::job &job, std::uint32_t index) {
     state_.remove_from_queue(job, index);
     job.again.erase(index);
-    // Tasks before it that were never placed stay waiting.
+    // Tasks with a lower index that were never placed stay waiting.
     for (; job.next_fresh <= index; ++job.next_fresh) {
-        auto passed = job.next_fresh;
-        if (passed != index && !job.done[passed] && !job.live.contains(passed) &&
-            !job.queued.contains(passed))
-            job.again.insert(passed);
+        auto skipped = job.next_fresh;
+        if (skipped != index && !job.done[skipped] && !job.live.contains(skipped) &&
+            !job.queued.contains(skipped))
+            job.again.insert(skipped);
     }
 }
 
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -282,10 +282,10 @@
     EXPECT_TRUE(machine.is_deleting);
 }
 
-TEST(deletion_reasons, are_told_in_the_logs_words) {
+TEST(deletion_reasons, have_texts_for_log_messages) {
     EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::never_came_up), "never came up");
-    EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::reclaimed), "taken back");
-    EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::outbound_partition), "does not hear us");
+    EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::reclaimed), "reclaimed by the cloud");
+    EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::outbound_partition), "outbound partition");
 }
 
 // --- the cloud's list ---
