--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the fleet, each alone.
+// Tests of the parts of fleet management in isolation.
 #include "builders.hpp"
 #include "constants.hpp"
 #include "fleet/array_demand.hpp"
@@ -19,9 +19,9 @@
 using test::at;
 namespace {
 
-class fleet_parts : public testing::Test {
+class fleet_parts_test : public testing::Test {
   protected:
-    fleet_parts() { state.begin_term({5, 5, at(0), wall_clock{}}); }
+    fleet_parts_test() { state.begin_term({5, 5, at(0), wall_clock{}}); }
 
     workers::machine &add_running(const std::string &name, const std::string &zone) {
         auto &machine = state.find_or_add_machine(name, at(0));
@@ -46,16 +46,16 @@
     model::cluster_state state{settings, test::small_types()};
 };
 
-using offers_test = fleet_parts;
-using rental_requests_test = fleet_parts;
-using machine_health_test = fleet_parts;
-using machine_list_test = fleet_parts;
-using scale_in_test = fleet_parts;
-using scale_out_test = fleet_parts;
+using offers_test = fleet_parts_test;
+using rental_requests_test = fleet_parts_test;
+using machine_health_test = fleet_parts_test;
+using machine_list_test = fleet_parts_test;
+using scale_in_test = fleet_parts_test;
+using scale_out_test = fleet_parts_test;
 
 const fleet::offer_key cheapest_small{"small", "a", true};
 
-// Which offer the catalog has for a task that may use spot instances.
+// Returns the cheapest offer for a task that may use spot instances.
 fleet::offer_key cheapest_key(const fleet::offer_catalog &offers, time_point now) {
     auto offer = offers.cheapest(test::small_job("job-1"), fleet::price_class::spot, nullptr, now);
     return offer ? fleet::key_of(*offer) : fleet::offer_key{};
@@ -65,7 +65,7 @@
 
 // --- offers ---
 
-TEST_F(offers_test, a_refused_offer_is_left_out_for_a_while) {
+TEST_F(offers_test, refused_offer_is_excluded_for_a_limited_time) {
     fleet::offer_catalog offers(state);
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small);
     offers.note_refused(cheapest_small, at(1));
@@ -74,7 +74,7 @@
     EXPECT_EQ(cheapest_key(offers, at(1) + constants::refused_capacity), cheapest_small);
 }
 
-TEST_F(offers_test, a_sold_out_offer_is_not_asked_for_many_times_over) {
+TEST_F(offers_test, sold_out_offer_gets_one_request_at_a_time) {
     fleet::offer_catalog offers(state);
     offers.add_pending(cheapest_small, 3 * constants::machines_per_request);
     EXPECT_EQ(cheapest_key(offers, at(1)), cheapest_small) << "it was never refused";
@@ -85,7 +85,7 @@
 
     offers.clear_pending();
     offers.add_pending(cheapest_small, constants::machines_per_request - 1);
-    EXPECT_EQ(cheapest_key(offers, later), cheapest_small) << "one request is not full yet";
+    EXPECT_EQ(cheapest_key(offers, later), cheapest_small) << "the pending request is not full yet";
     offers.add_pending(cheapest_small, 1);
     EXPECT_NE(cheapest_key(offers, later), cheapest_small);
 
@@ -104,14 +104,15 @@
     EXPECT_FALSE(offers.cheapest(spec, fleet::price_class::on_demand, &zones, at(1)));
 }
 
-TEST_F(offers_test, work_waits_longer_where_on_demand_machines_are_dearer) {
+TEST_F(offers_test, work_waits_longer_if_on_demand_machines_are_more_expensive) {
     auto types = test::small_types();
     fleet::offer_catalog offers(state);
     EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), 2.5);
     for (auto &type : types)
         type.price = 100 * type.spot_price;
     state.set_types(types);
-    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")), constants::ordinary_patience);
+    EXPECT_DOUBLE_EQ(offers.on_demand_wait_ratio(test::small_job("job-1")),
+                     constants::ordinary_patience);
     for (auto &type : types)
         type.spot_price = 0;
     state.set_types(types);
@@ -133,7 +134,7 @@
 
 } // namespace
 
-TEST_F(rental_requests_test, the_cloud_is_asked_once_the_record_is_durable) {
+TEST_F(rental_requests_test, request_is_sent_only_when_its_record_is_durable) {
     fleet::rental_requests requests(state, 4096);
     requests.add(offer_of_small(), 2, at(1));
     EXPECT_TRUE(requests.take_requests(at(1)).empty());
@@ -144,23 +145,23 @@
 
     requests.on_record_written(changes[0].round, fleet::rental_record_outcome::failed);
     EXPECT_TRUE(requests.take_requests(at(2)).empty());
-    ASSERT_EQ(requests.take_record_changes().size(), 1u) << "it is written again";
+    ASSERT_EQ(requests.take_record_changes().size(), 1u) << "the write is repeated";
 
     requests.on_record_written(changes[0].round, fleet::rental_record_outcome::written);
     auto sent = requests.take_requests(at(3));
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].request, changes[0].record->requests.at(0).request);
     EXPECT_EQ(sent[0].count, 2);
-    EXPECT_TRUE(requests.take_requests(at(3)).empty()) << "it is under way";
+    EXPECT_TRUE(requests.take_requests(at(3)).empty()) << "it is in progress";
     requests.on_outcome_unknown(sent[0].request, at(4));
     EXPECT_TRUE(requests.take_requests(at(4)).empty());
     EXPECT_EQ(requests.take_requests(at(4) + constants::rental_retry).size(), 1u);
 }
 
-TEST_F(rental_requests_test, a_record_is_dropped_only_when_every_machine_is_listed_or_gone) {
+TEST_F(rental_requests_test, record_is_deleted_only_when_every_machine_is_listed_or_gone) {
     fleet::rental_requests requests(state, 4096);
     auto sent = send_request(requests, offer_of_small(), 2, at(1));
-    EXPECT_TRUE(requests.take_record_changes().empty()) << "it is not answered";
+    EXPECT_TRUE(requests.take_record_changes().empty()) << "the request is unanswered";
     ASSERT_TRUE(requests.on_rented(sent.request, {"i-1", "i-2"}, at(2)));
     EXPECT_TRUE(requests.take_record_changes().empty());
     state.find_machine("i-1")->listed_at = at(3);
@@ -171,10 +172,11 @@
     EXPECT_FALSE(changes[0].record);
     requests.on_record_written(changes[0].round, fleet::rental_record_outcome::dropped);
     EXPECT_TRUE(requests.take_record_changes().empty());
-    EXPECT_FALSE(requests.on_rented(sent.request, {"i-3"}, at(5))) << "it is forgotten";
+    EXPECT_FALSE(requests.on_rented(sent.request, {"i-3"}, at(5)))
+        << "the request is no longer known";
 }
 
-TEST_F(rental_requests_test, a_refused_request_has_no_machines) {
+TEST_F(rental_requests_test, refused_request_has_no_machines) {
     fleet::rental_requests requests(state, 4096);
     auto sent = send_request(requests, offer_of_small(), 2, at(1));
     ASSERT_TRUE(requests.on_refused(sent.request));
@@ -183,9 +185,9 @@
     EXPECT_FALSE(changes[0].record);
 }
 
-TEST_F(rental_requests_test, wishes_of_a_round_share_requests_and_a_record) {
+TEST_F(rental_requests_test, additions_of_a_round_share_requests_and_a_record) {
     fleet::rental_requests requests(state, 4096);
-    for (int wish = 0; wish < constants::machines_per_request + 10; ++wish)
+    for (int count = 0; count < constants::machines_per_request + 10; ++count)
         requests.add(offer_of_small(), 1, at(1));
     auto changes = requests.take_record_changes();
     ASSERT_EQ(changes.size(), 1u);
@@ -195,16 +197,17 @@
     EXPECT_EQ(written[1].count, 10);
 }
 
-TEST_F(rental_requests_test, a_round_has_as_many_records_as_its_requests_need) {
-    std::size_t bytes = wire::rental_bytes({}) +
-                        wire::rental_bytes({"r-5-1", "small", "a", true, constants::machines_per_request});
+TEST_F(rental_requests_test, round_has_as_many_records_as_its_requests_need) {
+    std::size_t bytes =
+        wire::rental_bytes({}) +
+        wire::rental_bytes({"r-5-1", "small", "a", true, constants::machines_per_request});
     fleet::rental_requests requests(state, bytes);
     requests.add(offer_of_small(), constants::machines_per_request, at(1));
     requests.add(offer_of_small(), constants::machines_per_request, at(1));
     EXPECT_EQ(requests.take_record_changes().size(), 2u);
 }
 
-TEST_F(rental_requests_test, a_new_leader_asks_again_under_the_same_name) {
+TEST_F(rental_requests_test, new_leader_repeats_the_request_under_the_same_name) {
     fleet::rental_requests requests(state, 4096);
     wire::rental_record record;
     record.requests.push_back({"r-4-1", "small", "a", true, 3});
@@ -214,15 +217,15 @@
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].request, "r-4-1");
     ASSERT_TRUE(requests.on_rented("r-4-1", {"i-1"}, at(11)));
-    EXPECT_EQ(state.find_machine("i-1")->rented_at, at(0)) << "its boot began with the record";
+    EXPECT_EQ(state.find_machine("i-1")->rented_at, at(0)) << "counted from the time in the record";
 }
 
 // --- machine health ---
 
-TEST_F(machine_health_test, a_silent_machine_is_deleted) {
+TEST_F(machine_health_test, silent_machine_is_deleted) {
     fleet::machine_health health(settings, state);
-    for (int k = 0; k < 5; ++k)
-        add_running(fmt::format("i-{}", k), "a").last_heartbeat_at = at(20);
+    for (int index = 0; index < 5; ++index)
+        add_running(fmt::format("i-{}", index), "a").last_heartbeat_at = at(20);
     auto &silent = add_running("i-9", "a");
     silent.last_heartbeat_at = at(1);
     health.check(at(20));
@@ -231,38 +234,38 @@
     EXPECT_FALSE(state.find_machine("i-0")->is_deleting);
 }
 
-TEST_F(machine_health_test, a_zone_that_falls_silent_as_a_whole_is_kept_for_a_while) {
+TEST_F(machine_health_test, zone_that_becomes_silent_as_a_whole_is_kept_for_a_limited_time) {
     fleet::machine_health health(settings, state);
-    for (int k = 0; k < 3; ++k)
-        add_running(fmt::format("cut-{}", k), "a").last_heartbeat_at = at(0);
-    auto hear_others = [&](time_point now) {
-        for (int k = 0; k < 6; ++k)
-            add_running(fmt::format("i-{}", k), "b").last_heartbeat_at = now;
+    for (int index = 0; index < 3; ++index)
+        add_running(fmt::format("cut-{}", index), "a").last_heartbeat_at = at(0);
+    auto receive_from_others = [&](time_point now) {
+        for (int index = 0; index < 6; ++index)
+            add_running(fmt::format("i-{}", index), "b").last_heartbeat_at = now;
     };
     auto now = at(20);
-    hear_others(now);
+    receive_from_others(now);
     health.check(now);
     EXPECT_TRUE(state.find_machine("cut-0")->is_silent);
     EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
 
-    // The machines come back one after another.
+    // The machines return one after another.
     state.find_machine("cut-1")->last_heartbeat_at = now;
     state.find_machine("cut-2")->last_heartbeat_at = now;
     health.check(now + 1s);
     EXPECT_FALSE(state.find_machine("cut-0")->is_deleting);
     now += constants::cut_return + 1s;
-    hear_others(now);
+    receive_from_others(now);
     state.find_machine("cut-1")->last_heartbeat_at = now;
     state.find_machine("cut-2")->last_heartbeat_at = now;
     health.check(now);
-    EXPECT_TRUE(state.find_machine("cut-0")->is_deleting) << "it did not come back";
+    EXPECT_TRUE(state.find_machine("cut-0")->is_deleting) << "it did not return";
     EXPECT_FALSE(state.find_machine("cut-1")->is_deleting);
 }
 
-TEST_F(machine_health_test, a_zone_that_stays_silent_is_given_up) {
+TEST_F(machine_health_test, zone_that_stays_silent_is_deleted) {
     fleet::machine_health health(settings, state);
-    for (int k = 0; k < 3; ++k)
-        add_running(fmt::format("cut-{}", k), "a").last_heartbeat_at = at(0);
+    for (int index = 0; index < 3; ++index)
+        add_running(fmt::format("cut-{}", index), "a").last_heartbeat_at = at(0);
     auto last = model::silence_limit(settings) + settings.lease_duration + constants::cut_patience;
     for (auto now = at(0); now <= at(0) + last; now += 5s)
         health.check(now);
@@ -271,7 +274,7 @@
     EXPECT_TRUE(state.find_machine("cut-0")->is_deleting);
 }
 
-TEST_F(machine_health_test, a_machine_that_does_not_come_up_is_deleted) {
+TEST_F(machine_health_test, machine_that_does_not_come_up_is_deleted) {
     fleet::machine_health health(settings, state);
     auto &machine = state.find_or_add_machine("i-1", at(0));
     state.update_description(machine, "large", "a", false, "");
@@ -288,23 +291,23 @@
     EXPECT_STREQ(fleet::to_text(fleet::deletion_reason::outbound_partition), "outbound partition");
 }
 
-// --- the cloud's list ---
+// --- machine list ---
 
-TEST_F(machine_list_test, a_machine_that_should_be_listed_and_is_not_is_gone) {
+TEST_F(machine_list_test, machine_missing_from_the_list_is_removed) {
     state.find_or_add_machine("i-old", at(1));
     state.find_or_add_machine("i-new", at(95));
     listed_machine listed{"i-1", "10.0.0.1:9000", "large", "a", false, machine_state::running, 40s};
     fleet::apply_machine_list(state, settings, {listed}, at(100), at(101));
     EXPECT_EQ(state.find_machine("i-old"), nullptr);
     EXPECT_TRUE(state.was_removed("i-old"));
-    EXPECT_NE(state.find_machine("i-new"), nullptr) << "the list may be older";
+    EXPECT_NE(state.find_machine("i-new"), nullptr) << "the list may be older than the machine";
     auto *known = state.find_machine("i-1");
     ASSERT_NE(known, nullptr);
     EXPECT_EQ(known->running_at, at(101));
     EXPECT_EQ(known->rented_at, at(61));
 }
 
-TEST_F(machine_list_test, a_failed_machine_is_deleted_and_a_removed_one_stays_removed) {
+TEST_F(machine_list_test, failed_machine_is_deleted_and_removed_one_stays_removed) {
     add_running("i-gone", "a");
     state.remove_machine("i-gone", at(99));
     std::vector<listed_machine> listed{
@@ -315,9 +318,9 @@
     EXPECT_EQ(state.find_machine("i-gone"), nullptr);
 }
 
-// --- scaling in and out ---
+// --- scale in and scale out ---
 
-TEST_F(scale_in_test, idle_machines_are_deleted_but_for_spare_ones) {
+TEST_F(scale_in_test, idle_machines_are_deleted_except_spare_ones) {
     fleet::scale_in scale_in(state);
     add_running("i-idle", "a");
     add_running("i-spare", "a");
@@ -325,14 +328,14 @@
     EXPECT_TRUE(scale_in.take_deletions(at(36)).empty());
     scale_in.delete_idle({"i-spare"}, at(37));
     EXPECT_EQ(scale_in.take_deletions(at(37)), std::vector<std::string>{"i-idle"});
-    EXPECT_TRUE(scale_in.take_deletions(at(38)).empty()) << "it is under way";
+    EXPECT_TRUE(scale_in.take_deletions(at(38)).empty()) << "it is in progress";
     scale_in.on_delete_failed({"i-idle"});
     EXPECT_EQ(scale_in.take_deletions(at(39)).size(), 1u);
     scale_in.on_deleted({"i-idle"}, at(40));
     EXPECT_EQ(state.find_machine("i-idle"), nullptr);
 }
 
-TEST_F(scale_out_test, demand_is_told_by_kind_of_task_and_the_largest_comes_first) {
+TEST_F(scale_out_test, demand_is_grouped_by_resources_with_the_largest_tasks_first) {
     add_array("job-1", 1, 10);
     add_array("job-2", 8, 2);
     add_array("job-3", 1, 5);
@@ -343,7 +346,7 @@
     EXPECT_EQ(demand[1].tasks, 15);
 }
 
-TEST_F(scale_out_test, replicas_are_spread_over_zones_and_spare_capacity_is_named) {
+TEST_F(scale_out_test, spare_replicas_are_spread_over_zones_and_their_machines_named) {
     auto spec = test::small_job("service-1");
     spec.shape = job_shape::service;
     spec.spread = true;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are rented.
+// Tests of the rental decisions of the whole scheduler.
 #include "builders.hpp"
 #include "control/scheduler.hpp"
 #include <algorithm>
@@ -10,47 +10,48 @@
 
 namespace {
 
-wire::job_record array_of(std::uint32_t tasks) {
-    wire::job_record r;
-    r.spec = test::small_job("job-1");
-    r.spec.tasks = tasks;
-    r.spec.estimate = 100s;
-    return r;
+wire::job_record array_record(std::uint32_t tasks) {
+    wire::job_record record;
+    record.spec = test::small_job("job-1");
+    record.spec.tasks = tasks;
+    record.spec.estimate = 100s;
+    return record;
 }
 
 } // namespace
 
-// Thousands of machines are wished for and none is to be had: the first wish may come as many
-// requests for an offer, each later one as a single request.
-TEST(fleet, one_request_asks_for_what_is_sold_out) {
+// Guards against many simultaneous requests for a sold-out offer when thousands of machines are
+// needed and none is available. The first round may send many requests for an offer; once it was
+// refused, each later round sends a single one.
+TEST(fleet, sold_out_offer_is_requested_once_per_round) {
     control::scheduler core(test::small_settings(), test::small_types());
     core.begin(at(0), 5, wall_clock{});
     core.loaded(at(0));
-    core.on_job("job-1", array_of(1000), 7, at(0));
-    std::map<std::string, int> asked; // times that an offer was asked for
-    int at_first = 0, later = 0;
+    core.on_job("job-1", array_record(1000), 7, at(0));
+    std::map<std::string, int> rounds_by_offer; // rounds in which an offer was requested
+    int max_first = 0, max_later = 0;           // most requests for an offer in one round
     for (auto now = at(1); now < at(200); now += seconds{0.5}) {
         core.tick(now);
-        for (auto &w : core.take_writes(now))
-            core.on_written(w, true, now);
-        std::map<std::string, int> now_asked;
-        for (auto &q : core.take_rentals(now)) {
-            ++now_asked[q.type + q.zone + (q.spot ? "spot" : "")];
-            core.on_rent_refused(q.request, now);
+        for (auto &write : core.take_writes(now))
+            core.on_written(write, true, now);
+        std::map<std::string, int> requests_by_offer;
+        for (auto &request : core.take_rentals(now)) {
+            ++requests_by_offer[request.type + request.zone + (request.spot ? "spot" : "")];
+            core.on_rent_refused(request.request, now);
         }
-        for (auto &[offer, n] : now_asked) {
-            auto &most = asked[offer]++ == 0 ? at_first : later;
-            most = std::max(most, n);
+        for (auto &[offer, count] : requests_by_offer) {
+            auto &most = rounds_by_offer[offer]++ == 0 ? max_first : max_later;
+            most = std::max(most, count);
         }
     }
-    EXPECT_GE(at_first, 5);
-    EXPECT_EQ(later, 1);
-    EXPECT_GE(asked.at("smallaspot"), 5) << "it is asked for again";
+    EXPECT_GE(max_first, 5);
+    EXPECT_EQ(max_later, 1);
+    EXPECT_GE(rounds_by_offer.at("smallaspot"), 5) << "it is requested again";
 }
 
-// A machine is paid for while it boots, and what is rented for it waits: of two offers at the same
-// price per task the one that is up sooner is taken.
-TEST(fleet, boot_time_is_part_of_an_offers_price) {
+// A machine is paid for while it boots, and work waits for it. Of two offers at the same price per
+// task, the one that boots faster must be chosen.
+TEST(fleet, boot_time_is_part_of_the_price_of_an_offer) {
     for (seconds slow_boot : {30s, 50s}) {
         auto types = test::small_types();
         types[0].boot_time = slow_boot; // one slot
@@ -58,10 +59,10 @@
         control::scheduler core(test::small_settings(), types);
         core.begin(at(0), 5, wall_clock{});
         core.loaded(at(0));
-        core.on_job("job-1", array_of(1), 7, at(0));
+        core.on_job("job-1", array_record(1), 7, at(0));
         core.tick(at(3));
-        for (auto &w : core.take_writes(at(3)))
-            core.on_written(w, true, at(3));
+        for (auto &write : core.take_writes(at(3)))
+            core.on_written(write, true, at(3));
         auto rentals = core.take_rentals(at(3));
         ASSERT_EQ(rentals.size(), 1u);
         EXPECT_EQ(rentals[0].type, slow_boot < 40s ? "small" : "large");
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,5 +1,5 @@
-// The parts of worker reconciliation alone: proofs that an attempt is gone, heartbeats, commands,
-// leases and failures.
+// Tests of the parts of worker reconciliation in isolation: attempt liveness, heartbeats, commands,
+// outbound partitions, leases and failures.
 #include "constants.hpp"
 #include "reconciliation/command_composer.hpp"
 #include "reconciliation/failure_review.hpp"
@@ -22,36 +22,36 @@
 
 namespace {
 
-constexpr std::uint64_t present_token = 7;
+constexpr std::uint64_t current_token = 7;
 constexpr std::uint64_t earlier_token = 6;
 
-// An attempt and its machine, which has sent heartbeat (1, 5) under the present token.
-class proven_gone : public testing::Test {
+// An attempt and its machine, which has sent heartbeat 5 of incarnation 1 with the current token.
+class attempt_liveness_test : public testing::Test {
   protected:
-    proven_gone() {
+    attempt_liveness_test() {
         machine.is_type_known = true;
         machine.incarnation = 1;
         machine.sequence = 5;
-        machine.token = present_token;
+        machine.token = current_token;
         attempt.phase = attempt_phase::sent;
         attempt.sent_incarnation = 1;
         attempt.sent_sequence = 4;
     }
-    attempt_liveness assessed(evidence seen) const {
-        return workers::assess_attempt(attempt, machine, {seen, present_token, at(100)});
+    attempt_liveness assess(evidence seen) const {
+        return workers::assess_attempt(attempt, machine, {seen, current_token, at(100)});
     }
     workers::machine machine;
     catalog::attempt attempt;
 };
 
 // A cluster with one job of two tasks and the machine i-1.
-class reconciliation_parts : public testing::Test {
+class reconciliation_test : public testing::Test {
   protected:
-    reconciliation_parts() {
+    reconciliation_test() {
         settings.heartbeat_interval = 5s;
         settings.lease_duration = 20s;
         settings.cancel_deadline = 30s;
-        state.begin_term({present_token, present_token, at(0), {}});
+        state.begin_term({current_token, current_token, at(0), {}});
         catalog::job job;
         job.spec.id = "job-1";
         job.spec.shape = job_shape::array;
@@ -70,23 +70,23 @@
         type.zones = {"a"};
         return type;
     }
-    heartbeat heartbeat_of(std::uint64_t sequence, std::vector<task_status> tasks = {}) const {
-        heartbeat made;
-        made.machine = "i-1";
-        made.type = "small";
-        made.zone = "a";
-        made.incarnation = 1;
-        made.sequence = sequence;
-        made.token = present_token;
-        made.tasks = std::move(tasks);
-        return made;
+    heartbeat make_heartbeat(std::uint64_t sequence, std::vector<task_status> tasks = {}) const {
+        heartbeat message;
+        message.machine = "i-1";
+        message.type = "small";
+        message.zone = "a";
+        message.incarnation = 1;
+        message.sequence = sequence;
+        message.token = current_token;
+        message.tasks = std::move(tasks);
+        return message;
     }
     heartbeat_freshness receive(const heartbeat &received, time_point now,
                                 heartbeat_origin origin = heartbeat_origin::unsolicited) {
         return heartbeats.reconcile(received, origin, now);
     }
-    // Task 0 is placed on the machine, durably; its start was not sent.
-    catalog::attempt &place() {
+    // Places task 0 on the machine, durably and without sending its start.
+    catalog::attempt &place_task() {
         catalog::attempt placed;
         placed.task = {"job-1", 0};
         placed.number = 11;
@@ -97,112 +97,115 @@
     }
     catalog::job &job() { return *state.find_job("job-1"); }
     workers::machine &machine() { return *state.find_machine("i-1"); }
-    static task_status listed(task_state as, exit_cause cause = exit_cause::none) {
-        return {"job-1", 0, 11, as, cause, false};
+    static task_status listed(task_state state_listed, exit_cause cause = exit_cause::none) {
+        return {"job-1", 0, 11, state_listed, cause, false};
     }
 
     settings::settings settings;
     model::cluster_state state{settings, {type()}};
-    std::vector<std::uint32_t> done;
+    std::vector<std::uint32_t> completed_tasks;
     reconciliation::failure_review failures{state};
     reconciliation::heartbeat_reconciler heartbeats{
-        state, settings, failures,
-        [this](catalog::job &, std::uint32_t index, time_point) { done.push_back(index); }};
+        state, settings, failures, [this](catalog::job &, std::uint32_t index, time_point) {
+            completed_tasks.push_back(index);
+        }};
     reconciliation::command_composer commands{state};
     reconciliation::lease_monitor leases{state, settings};
 };
 
 } // namespace
 
-// --- proofs ---
+// --- attempt liveness ---
 
-TEST_F(proven_gone, a_start_whose_answer_was_dropped_is_sent_again) {
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::start_dropped);
+TEST_F(attempt_liveness_test, start_in_a_dropped_answer_may_be_sent_again) {
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::start_dropped);
 }
 
-TEST_F(proven_gone, a_dropped_start_that_nobody_wants_any_more_is_gone) {
+TEST_F(attempt_liveness_test, dropped_start_that_is_no_longer_wanted_is_gone) {
     attempt.stop_wanted = true;
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::gone);
     attempt.stop_wanted = false;
     machine.is_deleting = true;
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
-TEST_F(proven_gone, a_start_in_the_answer_to_the_newest_heartbeat_may_still_arrive) {
+TEST_F(attempt_liveness_test, start_in_the_answer_to_the_newest_heartbeat_may_still_arrive) {
     attempt.sent_sequence = machine.sequence;
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
 }
 
-TEST_F(proven_gone, an_unacknowledged_command_keeps_what_is_missing) {
+TEST_F(attempt_liveness_test,
+       missing_attempt_is_possibly_live_while_a_direct_command_is_unacknowledged) {
     for (auto phase : {attempt_phase::sent, attempt_phase::fetching, attempt_phase::running,
                        attempt_phase::checkpointing}) {
         attempt.phase = phase;
         machine.open_direct_commands = 1;
-        EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+        EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
         machine.open_direct_commands = 0;
-        machine.unresolved_token = present_token;
+        machine.unresolved_token = current_token;
         machine.unresolved_incarnation = 1;
-        EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
-        machine.token = present_token + 1;
-        EXPECT_NE(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
-        machine.token = present_token;
+        EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+        machine.token = current_token + 1;
+        EXPECT_NE(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+        machine.token = current_token;
         machine.unresolved_token = machine.unresolved_incarnation = 0;
     }
 }
 
-TEST_F(proven_gone, an_answer_on_its_way_keeps_what_is_missing) {
+TEST_F(attempt_liveness_test, missing_attempt_is_possibly_live_while_an_answer_is_in_flight) {
     attempt.phase = attempt_phase::running;
     machine.answer_incarnation = 1;
     machine.answer_expires_at = at(101);
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
     machine.answer_expires_at = at(100);
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
-TEST_F(proven_gone, an_earlier_leaders_start_ends_with_the_present_token) {
+TEST_F(attempt_liveness_test, start_of_an_earlier_leader_is_gone_once_the_current_token_was_seen) {
     attempt.inherited = true;
     machine.token = earlier_token;
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
-    machine.token = present_token;
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+    machine.token = current_token;
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::gone);
 }
 
-TEST_F(proven_gone, a_new_incarnation_ends_all_but_an_earlier_leaders_start) {
+TEST_F(attempt_liveness_test,
+       new_incarnation_proves_all_attempts_gone_except_those_of_an_earlier_leader) {
     machine.open_direct_commands = 1;
-    EXPECT_EQ(assessed(evidence::new_incarnation), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::new_incarnation), attempt_liveness::gone);
     attempt.inherited = true;
-    EXPECT_EQ(assessed(evidence::new_incarnation), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::new_incarnation), attempt_liveness::possibly_live);
 }
 
-TEST_F(proven_gone, an_expired_lease_ends_what_was_sent) {
+TEST_F(attempt_liveness_test, expired_lease_proves_sent_attempts_gone) {
     machine.open_direct_commands = 1;
-    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::lease_expired), attempt_liveness::gone);
     attempt.inherited = true;
-    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::lease_expired), attempt_liveness::gone);
     attempt.phase = attempt_phase::committed;
-    EXPECT_EQ(assessed(evidence::lease_expired), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::lease_expired), attempt_liveness::possibly_live);
 }
 
-TEST_F(proven_gone, a_removed_machine_ends_all_but_results) {
-    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
+TEST_F(attempt_liveness_test, removed_machine_proves_all_attempts_gone_except_results) {
+    EXPECT_EQ(assess(evidence::machine_removed), attempt_liveness::gone);
     attempt.phase = attempt_phase::committing;
-    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::machine_removed), attempt_liveness::gone);
     attempt.phase = attempt_phase::exited;
     attempt.cause = exit_cause::error;
-    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::gone);
+    EXPECT_EQ(assess(evidence::machine_removed), attempt_liveness::gone);
     attempt.cause = exit_cause::done;
-    EXPECT_EQ(assessed(evidence::machine_removed), attempt_liveness::possibly_live);
-    EXPECT_EQ(assessed(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::machine_removed), attempt_liveness::possibly_live);
+    EXPECT_EQ(assess(evidence::missing_from_heartbeat), attempt_liveness::possibly_live);
 }
 
 // --- heartbeats ---
 
-TEST_F(reconciliation_parts, a_late_copy_is_stale_and_an_earlier_incarnation_dead) {
-    auto first = heartbeat_of(2);
+TEST_F(reconciliation_test, late_copy_is_stale_and_earlier_incarnation_is_obsolete) {
+    auto first = make_heartbeat(2);
     first.incarnation = 3;
     EXPECT_EQ(receive(first, at(1)), heartbeat_freshness::fresh);
     EXPECT_EQ(receive(first, at(2)), heartbeat_freshness::stale);
-    auto earlier = heartbeat_of(9);
+    auto earlier = make_heartbeat(9);
     earlier.incarnation = 2;
     EXPECT_EQ(receive(earlier, at(3)), heartbeat_freshness::obsolete);
     EXPECT_EQ(machine().last_message_at, at(1));
@@ -210,96 +213,98 @@
     EXPECT_EQ(receive(first, at(5)), heartbeat_freshness::obsolete);
 }
 
-TEST_F(reconciliation_parts, an_unacknowledged_direct_command_keeps_a_missing_task) {
-    receive(heartbeat_of(1), at(1));
-    place();
+TEST_F(reconciliation_test, missing_task_is_kept_while_a_direct_command_is_unacknowledged) {
+    receive(make_heartbeat(1), at(1));
+    place_task();
     auto sent = commands.for_direct_command("i-1", start_permission::granted, at(2));
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].kind, command_kind::start);
-    receive(heartbeat_of(2), at(3));
+    receive(make_heartbeat(2), at(3));
     EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
-    commands.mark_unresolved("i-1", present_token, 1);
-    receive(heartbeat_of(3), at(4));
+    commands.mark_unresolved("i-1", current_token, 1);
+    receive(make_heartbeat(3), at(4));
     EXPECT_EQ(job().live.at(0).phase, attempt_phase::sent);
-    // Once the worker has seen a higher token, the command can't arrive any more.
-    state.raise_token(present_token + 1);
-    auto raised = heartbeat_of(4);
-    raised.token = present_token + 1;
+    // Once the agent has seen a higher token, it refuses the command.
+    state.raise_token(current_token + 1);
+    auto raised = make_heartbeat(4);
+    raised.token = current_token + 1;
     receive(raised, at(5));
     EXPECT_EQ(job().live.at(0).phase, attempt_phase::committed);
 }
 
-TEST_F(reconciliation_parts, an_unresolved_direct_command_asks_for_a_higher_token) {
-    receive(heartbeat_of(1), at(1));
+TEST_F(reconciliation_test, unresolved_direct_command_requests_a_token_raise) {
+    receive(make_heartbeat(1), at(1));
     commands.begin_term(at(1));
-    place();
+    place_task();
     ASSERT_EQ(commands.for_direct_command("i-1", start_permission::granted, at(2)).size(), 1u);
     auto later = at(2) + 2 * constants::token_bump;
     EXPECT_FALSE(commands.take_token_raise_request(later));
-    commands.mark_unresolved("i-1", present_token, 1);
+    commands.mark_unresolved("i-1", current_token, 1);
     EXPECT_FALSE(commands.take_token_raise_request(at(2)));
     EXPECT_TRUE(commands.take_token_raise_request(later));
-    EXPECT_FALSE(commands.take_token_raise_request(later)) << "asked for already";
+    EXPECT_FALSE(commands.take_token_raise_request(later)) << "already requested";
 }
 
-TEST_F(reconciliation_parts, a_task_that_runs_unknown_is_adopted_and_stopped) {
-    receive(heartbeat_of(1, {listed(task_state::running)}), at(1));
+TEST_F(reconciliation_test, unknown_running_task_is_adopted_and_stopped) {
+    receive(make_heartbeat(1, {listed(task_state::running)}), at(1));
     ASSERT_TRUE(job().live.contains(0));
     EXPECT_TRUE(job().live.at(0).stop_wanted);
     auto answer = commands.for_answer("i-1", start_permission::granted, at(1));
     ASSERT_EQ(answer.size(), 1u);
     EXPECT_EQ(answer[0].kind, command_kind::stop);
-    EXPECT_FALSE(heartbeats.has_no_tasks(heartbeat_of(2)));
+    EXPECT_FALSE(heartbeats.has_no_tasks(make_heartbeat(2)));
 }
 
-TEST_F(reconciliation_parts, a_completed_task_is_told_once_whoever_started_it) {
+TEST_F(reconciliation_test, completion_is_reported_once_regardless_of_the_attempt) {
     auto completed = listed(task_state::exited, exit_cause::done);
-    receive(heartbeat_of(1, {completed}), at(1));
-    receive(heartbeat_of(2, {completed}), at(2));
-    EXPECT_EQ(done, std::vector<std::uint32_t>{0});
-    EXPECT_TRUE(machine().cleanup_commands.empty()) << "the worker keeps it until it is durable";
+    receive(make_heartbeat(1, {completed}), at(1));
+    receive(make_heartbeat(2, {completed}), at(2));
+    EXPECT_EQ(completed_tasks, std::vector<std::uint32_t>{0});
+    EXPECT_TRUE(machine().cleanup_commands.empty())
+        << "the agent keeps it until the completion is durable";
     job().done_durable[0] = true;
-    receive(heartbeat_of(3, {completed}), at(3));
+    receive(make_heartbeat(3, {completed}), at(3));
     ASSERT_EQ(machine().cleanup_commands.size(), 1u);
     EXPECT_EQ(machine().cleanup_commands[0].kind, command_kind::remove);
 }
 
 // --- outbound partitions ---
 
-TEST_F(reconciliation_parts, a_machine_that_ignores_announced_tokens_gets_no_more_work) {
-    auto unaware = heartbeat_of(1);
-    unaware.token = earlier_token;
+TEST_F(reconciliation_test, machine_that_ignores_announced_tokens_gets_no_more_work) {
+    auto outdated = make_heartbeat(1);
+    outdated.token = earlier_token;
     time_point now = at(1);
-    receive(unaware, now);
+    receive(outdated, now);
     heartbeats.note_answer("i-1", heartbeat_freshness::fresh, now);
-    for (int ignored = 0; ignored < constants::outbound_partition_heartbeats; ++ignored) {
-        EXPECT_FALSE(machine().outbound_partition_since) << "after " << ignored;
-        ++unaware.sequence;
+    for (int missed = 0; missed < constants::outbound_partition_heartbeats; ++missed) {
+        EXPECT_FALSE(machine().outbound_partition_since) << "after " << missed;
+        ++outdated.sequence;
         now += 2 * settings.heartbeat_interval + constants::worker_patience;
-        receive(unaware, now);
+        receive(outdated, now);
     }
     EXPECT_TRUE(machine().outbound_partition_since);
     EXPECT_FALSE(machine().is_usable());
-    auto aware = heartbeat_of(9);
-    receive(aware, now + 1s);
+    auto acknowledging = make_heartbeat(9);
+    receive(acknowledging, now + 1s);
     EXPECT_FALSE(machine().outbound_partition_since);
 }
 
-// A mark must not outlive its cause: an incarnation that outlasts a lease was answered.
-TEST_F(reconciliation_parts, a_partition_ends_when_the_incarnation_outlasts_a_lease) {
-    receive(heartbeat_of(1), at(1));
+// Guards against a partition mark that outlasts its cause. An incarnation that outlasts a lease has
+// received an answer.
+TEST_F(reconciliation_test, partition_mark_is_cleared_when_the_incarnation_outlasts_a_lease) {
+    receive(make_heartbeat(1), at(1));
     machine().outbound_partition_since = at(2);
     auto outlasted = at(1) + settings.lease_duration;
-    receive(heartbeat_of(2), outlasted);
+    receive(make_heartbeat(2), outlasted);
     EXPECT_TRUE(machine().outbound_partition_since);
-    receive(heartbeat_of(3), outlasted + 5 * settings.heartbeat_interval);
+    receive(make_heartbeat(3), outlasted + 5 * settings.heartbeat_interval);
     EXPECT_FALSE(machine().outbound_partition_since);
 }
 
-TEST_F(reconciliation_parts, the_answer_to_a_late_copy_announces_nothing) {
-    auto unaware = heartbeat_of(1);
-    unaware.token = earlier_token;
-    receive(unaware, at(1));
+TEST_F(reconciliation_test, answer_to_a_late_copy_announces_no_token) {
+    auto outdated = make_heartbeat(1);
+    outdated.token = earlier_token;
+    receive(outdated, at(1));
     heartbeats.note_answer("i-1", heartbeat_freshness::stale, at(2));
     EXPECT_FALSE(machine().announced_at);
     EXPECT_EQ(machine().latest_lease_end, reconciliation::latest_lease_end(settings, at(2)));
@@ -307,9 +312,9 @@
 
 // --- leases and failures ---
 
-TEST_F(reconciliation_parts, what_was_sent_is_released_after_the_lease_and_not_before) {
-    receive(heartbeat_of(1), at(1));
-    place().phase = attempt_phase::running;
+TEST_F(reconciliation_test, sent_attempt_is_released_after_the_lease_and_not_before) {
+    receive(make_heartbeat(1), at(1));
+    place_task().phase = attempt_phase::running;
     auto end = machine().latest_lease_end;
     leases.release_expired(end);
     EXPECT_TRUE(job().live.contains(0));
@@ -318,9 +323,10 @@
     EXPECT_TRUE(job().again.contains(0));
 }
 
-TEST_F(reconciliation_parts, a_cancelled_task_is_pressed_and_then_its_machine_deleted) {
-    receive(heartbeat_of(1), at(1));
-    place().phase = attempt_phase::running;
+TEST_F(reconciliation_test,
+       cancelled_task_is_stopped_by_direct_command_and_then_by_deleting_its_machine) {
+    receive(make_heartbeat(1), at(1));
+    place_task().phase = attempt_phase::running;
     job().cancelled = true;
     job().cancelled_at = at(1);
     leases.enforce_cancellations(at(1) + settings.heartbeat_interval);
@@ -330,21 +336,21 @@
     EXPECT_TRUE(machine().is_deleting);
 }
 
-TEST_F(reconciliation_parts, a_machine_where_a_working_job_fails_is_quarantined) {
-    receive(heartbeat_of(1), at(1));
+TEST_F(reconciliation_test, machine_on_which_a_working_job_fails_is_quarantined) {
+    receive(make_heartbeat(1), at(1));
     job().done_seen = 1;
-    place();
-    receive(heartbeat_of(2, {listed(task_state::exited, exit_cause::error)}), at(2));
+    place_task();
+    receive(make_heartbeat(2, {listed(task_state::exited, exit_cause::error)}), at(2));
     EXPECT_TRUE(machine().is_quarantined);
     EXPECT_FALSE(job().live.contains(0));
 }
 
-TEST_F(reconciliation_parts, a_suspect_job_is_retried_one_task_at_a_time) {
+TEST_F(reconciliation_test, suspect_job_is_retried_one_task_at_a_time) {
     EXPECT_TRUE(failures.may_retry(job(), at(1)));
     failures.restore_suspects({"job-1", "unknown"}, at(1));
     auto retry_at = state.failures().retry_at("job-1");
     EXPECT_TRUE(failures.may_retry(job(), retry_at));
-    receive(heartbeat_of(1), at(1));
-    place();
+    receive(make_heartbeat(1), at(1));
+    place_task();
     EXPECT_FALSE(failures.may_retry(job(), retry_at));
 }
