--- a/src/catalog/job_cache.hpp
+++ b/src/catalog/job_cache.hpp
@@ -45,8 +45,8 @@
     // Reads, one at a time, the ended records of predecessors whose end isn't known.
     net::awaitable<void> run_predecessor_reads();
     void stop();
-    // Sets whether the watch is reopened at short intervals (watch_gap), as a leader needs it, or
-    // at longer ones (follower_watch_gap).
+    // Sets whether the watch is reopened at short intervals (leader_watch_interval), as a leader
+    // needs it, or at longer ones (follower_watch_interval).
     void set_prompt_updates(bool yes) { prompt_updates_ = yes; }
 
     // Returns true once the cache is at least as new as the call, or false if the key-value store
--- a/src/reconciliation/command_composer.hpp
+++ b/src/reconciliation/command_composer.hpp
@@ -40,7 +40,8 @@
     void mark_unresolved(const std::string &machine_name, std::uint64_t token,
                          std::uint64_t incarnation);
     /// Whether the token should be raised, which would invalidate unresolved direct commands. If
-    /// true, the raise counts as done, so that raises are spaced by constants::token_bump.
+    /// true, the raise counts as done, so that raises are spaced by
+    /// constants::min_token_raise_interval.
     [[nodiscard]] bool take_token_raise_request(time_point now);
 
   private:
--- a/src/records/done_records.cpp
+++ b/src/records/done_records.cpp
@@ -153,7 +153,7 @@
 void done_records::on_written(const durable_write &write, bool ok, time_point now) {
     if (auto found = records_.find(write.record_name); found != records_.end()) {
         found->second.write_pending = false;
-        if (!ok) // retry after state_retry
+        if (!ok) // retry after key_value_retry_delay
             found->second.dirty_since =
                 now + constants::key_value_retry_delay - constants::done_record_delay;
     }
--- a/src/records/done_records.hpp
+++ b/src/records/done_records.hpp
@@ -39,7 +39,7 @@
     [[nodiscard]] std::vector<std::string> take_obsolete_keys();
 
   private:
-    // A range of part_done tasks of a job that are recorded together.
+    // A range of tasks_per_done_part tasks of a job that are recorded together.
     struct job_part {
         std::string job;
         std::uint32_t number = 0;
--- a/src/records/record_cleanup.hpp
+++ b/src/records/record_cleanup.hpp
@@ -14,7 +14,7 @@
 // Periodically collects obsolete records and queues their deletion until writes are available.
 class record_cleanup {
   public:
-    // Collects obsolete records, at most once per sweep_gap.
+    // Collects obsolete records, at most once per record_cleanup_interval.
     void sweep(placement_records &placements, done_records &done, time_point now);
     // Appends at most `max_writes` writes and reduces `max_writes` by their number.
     void take_writes(std::vector<durable_write> &out, std::size_t &max_writes);
--- a/src/records/suspect_record.hpp
+++ b/src/records/suspect_record.hpp
@@ -19,7 +19,7 @@
 
     // Loads the record of an earlier leader.
     void load(const std::vector<std::string> &jobs, time_point now);
-    // Appends a write if the suspects changed, at most one per suspects_gap.
+    // Appends a write if the suspects changed, at most one per suspects_write_interval.
     void take_writes(std::vector<durable_write> &out, time_point now);
     void on_written(const durable_write &write, bool ok);
 
--- a/src/store/write_queue.hpp
+++ b/src/store/write_queue.hpp
@@ -8,7 +8,7 @@
 
 namespace spindlecroft::store {
 
-// More urgent writes go first, but don't overtake one that has waited longer than write_patience:
+// More urgent writes go first, but don't overtake one that has waited longer than write_aging_time:
 // otherwise a steady stream of submissions would starve rentals and placements.
 class write_queue {
   public:
@@ -20,7 +20,7 @@
     [[nodiscard]] bool may_proceed(ticket position, request_priority priority,
                                    time_point now) const;
     // Returns the priority with which the write takes its tokens: one that has waited longer than
-    // write_patience may use the reserve of more urgent writes.
+    // write_aging_time may use the reserve of more urgent writes.
     [[nodiscard]] request_priority effective_priority(ticket position, request_priority priority,
                                                       time_point now) const;
 
