--- a/tests/simulated_leader.cpp
+++ b/tests/simulated_leader.cpp
@@ -1,4 +1,5 @@
-// The leaders of the randomized simulation, their commands and their cloud.
+// The leaders of the randomized simulation: elections, loading of records, direct commands to
+// workers, and the cloud that rents and deletes machines.
 #include "membership/cancel_exchange.hpp"
 #include "randomized_simulation.hpp"
 #include "store/keys.hpp"
@@ -8,8 +9,8 @@
 namespace spindlecroft::test {
 
 void simulation::elect() {
-    if (now < outage_until) { // nobody can be chosen
-        at(outage_until + seconds{0.1}, [this] {
+    if (now < outage_until) { // no election without the key-value store
+        schedule(outage_until + seconds{0.1}, [this] {
             if (!scheduler)
                 elect();
         });
@@ -17,18 +18,18 @@
     }
     ++leaders;
     leader_refused_until = {};
-    known_until = now;
+    cancels_known_until = now;
     versions.clear();
     for (auto &[key, value] : kv)
         versions[key] = value.second;
     leader_token = ++revision;
     scheduler = std::make_shared<control::scheduler>(conf, types);
     scheduler->begin(now, leader_token, wall_clock{});
-    // What it can't read it passes over.
+    // A leader of the version before dependencies skips records that it can't read.
     leader_ignores_dependents = chance(0.3) && !dependent_may_run();
     ends_unreadable = chance(0.3);
     if (ends_unreadable)
-        at(now + between(1, 20), [this] { ends_unreadable = false; });
+        schedule(now + random_duration(1, 20), [this] { ends_unreadable = false; });
     load_records();
     scheduler->finish_loading(now);
 }
@@ -37,7 +38,7 @@
     for (auto &[id, record] : jobs)
         if (!leader_ignores_dependents || record.job.spec.predecessors.empty())
             scheduler->load_job(id, record.job, record.version, now);
-    tell_predecessor_ends();
+    report_predecessor_ends();
     for (auto &[key, kept] : kv) // done records before placements
         if (key[0] == 'd')
             scheduler->load_done(key.substr(2), wire::parse_done_parts(kept.first));
@@ -53,23 +54,24 @@
 }
 
 void simulation::advance_leader() {
-    // Other controllers tell all they confirm within moments, unless nobody hears them.
+    // Other controllers report every confirmed cancel to the leader within a second, unless their
+    // notices are lost.
     if (now >= leader_refused_until || !cancel_notices_lost)
-        known_until = now - 1s;
-    tell_predecessor_ends();
+        cancels_known_until = now - 1s;
+    report_predecessor_ends();
     scheduler->tick(now);
     auto leader = scheduler;
-    auto write_at = now + between(0.01, 0.1);
+    auto write_at = now + random_duration(0.01, 0.1);
     if (chance(0.02))
         write_at += 2s;
-    for (auto &w : scheduler->take_writes(now))
-        at(write_at, [this, leader, w] { apply_write(leader, w); });
+    for (auto &write : scheduler->take_writes(now))
+        schedule(write_at, [this, leader, write] { apply_write(leader, write); });
     for (auto &name : scheduler->take_urgent_machines())
         send_command(name);
     for (auto &request : scheduler->take_rental_requests(now))
-        at(now + delay(), [this, leader, request] { rent(leader, request); });
+        schedule(now + random_delay(), [this, leader, request] { rent(leader, request); });
     if (auto names = scheduler->take_deletions(now); !names.empty())
-        at(now + delay(), [this, leader, names] { delete_machines(leader, names); });
+        schedule(now + random_delay(), [this, leader, names] { delete_machines(leader, names); });
     if (scheduler->needs_token_raise(now) && now >= outage_until && now >= leader_refused_until) {
         leader_token = ++revision;
         scheduler->set_token(leader_token);
@@ -80,16 +82,16 @@
                       const rental_request &request) {
     if (!rentals.count(request.id))
         for (int count = 0; count < request.count; ++count) {
-            worker w;
-            w.name = fmt::format("i-{:04}", ++machine_count);
-            w.type = request.type;
-            w.zone = request.zone;
-            w.spot = request.spot;
-            w.up_at = now + between(1, 40);
-            w.lease_from = w.up_at;
-            w.faulty = chance(0.05);
-            rentals[request.id].push_back(w.name);
-            workers[w.name] = w;
+            worker agent;
+            agent.name = fmt::format("i-{:04}", ++machine_count);
+            agent.type = request.type;
+            agent.zone = request.zone;
+            agent.spot = request.spot;
+            agent.up_at = now + random_duration(1, 40);
+            agent.lease_from = agent.up_at;
+            agent.faulty = chance(0.05);
+            rentals[request.id].push_back(agent.name);
+            workers[agent.name] = agent;
         }
     if (leader != scheduler)
         return;
@@ -121,18 +123,18 @@
     auto commands = leader->direct_commands_for(name, now, may_renew());
     if (commands.empty())
         return;
-    bool starts = std::any_of(commands.begin(), commands.end(),
-                              [](auto &each) { return each.kind == command_kind::start; });
+    bool contains_start = std::any_of(commands.begin(), commands.end(),
+                                      [](auto &each) { return each.kind == command_kind::start; });
     auto message = std::make_shared<direct_message>(
-        direct_message{leader, name, incarnation, leader->token(), commands, starts});
-    at(now + seconds{2.5}, [this, message] {
-        if (!message->settled && message->starts && message->leader == scheduler)
+        direct_message{leader, name, incarnation, leader->token(), commands, contains_start});
+    schedule(now + seconds{2.5}, [this, message] {
+        if (!message->is_resolved && message->contains_start && message->leader == scheduler)
             message->leader->command_unresolved(message->machine, message->token,
                                                 message->incarnation);
-        message->settled = true;
+        message->is_resolved = true;
     });
-    auto arrives_at = now + (chance(0.15) ? between(1, 40) : delay());
-    at(arrives_at, [this, message] { deliver_command(message); });
+    auto arrives_at = now + (chance(0.15) ? random_duration(1, 40) : random_delay());
+    schedule(arrives_at, [this, message] { deliver_command(message); });
 }
 
 void simulation::deliver_command(const std::shared_ptr<direct_message> &message) {
@@ -143,8 +145,8 @@
     if (now < worker.inbound_partition_until)
         return;
     if (now < worker.hang_until) {
-        // A hanging machine takes it up afterwards.
-        at(worker.hang_until + seconds{0.01}, [this, message] { deliver_command(message); });
+        // A hanging machine processes the message when it continues.
+        schedule(worker.hang_until + seconds{0.01}, [this, message] { deliver_command(message); });
         return;
     }
     advance_worker(worker);
@@ -152,65 +154,67 @@
         worker.token = message->token;
         execute(worker, message->commands);
     }
-    auto shown = make_heartbeat(worker);
+    auto response = make_heartbeat(worker);
     if (chance(0.1))
         return;
-    at(now + delay(), [this, message, shown] {
-        if (message->settled || message->leader != scheduler)
+    schedule(now + random_delay(), [this, message, response] {
+        if (message->is_resolved || message->leader != scheduler)
             return;
-        message->settled = true;
-        if (message->starts)
+        message->is_resolved = true;
+        if (message->contains_start)
             message->leader->command_resolved(message->machine);
-        message->leader->on_heartbeat(shown, now, true);
+        message->leader->on_heartbeat(response, now, true);
     });
 }
 
 bool simulation::may_renew() const {
-    return membership::may_renew_lease(now, known_until, conf.lease_duration, conf.cancel_deadline);
+    return membership::may_renew_lease(now, cancels_known_until, conf.lease_duration,
+                                       conf.cancel_deadline);
 }
 
 bool simulation::dependent_may_run() const {
-    return std::any_of(jobs.begin(), jobs.end(), [&](auto &j) {
-        auto &names = j.second.job.spec.predecessors;
+    return std::any_of(jobs.begin(), jobs.end(), [&](auto &entry) {
+        auto &names = entry.second.job.spec.predecessors;
         return !names.empty() && std::all_of(names.begin(), names.end(),
                                              [&](auto &id) { return ended.count(id) > 0; });
     });
 }
 
-void simulation::tell_predecessor_ends() {
+void simulation::report_predecessor_ends() {
     if (ends_unreadable || leader_ignores_dependents || now < outage_until ||
         now < leader_refused_until)
         return;
     for (auto &id : scheduler->unresolved_predecessors())
-        if (auto e = ended.find(id); e != ended.end())
-            scheduler->on_predecessor_end(id, {e->second, {}}, now);
+        if (auto found = ended.find(id); found != ended.end())
+            scheduler->on_predecessor_end(id, {found->second, {}}, now);
 }
 
 void simulation::notify_leader(const std::string &id) {
     auto leader = scheduler;
-    at(now + between(0.01, 0.3), [this, leader, id] {
+    schedule(now + random_duration(0.01, 0.3), [this, leader, id] {
         if (leader != scheduler || !leader)
             return;
         if (now < outage_until || now < leader_refused_until) {
-            auto j = jobs.find(id);
-            if (j != jobs.end() && j->second.job.cancelled && !cancel_notices_lost) {
-                ++by_name;
-                cancel_notice notice{id, j->second.version, {}};
-                if (auto told_at = j->second.cancelled_at)
-                    notice.cancelled_at = wall_clock{}.to_wall(*told_at);
+            auto found = jobs.find(id);
+            if (found != jobs.end() && found->second.job.cancelled && !cancel_notices_lost) {
+                ++cancels_by_notice;
+                cancel_notice notice{id, found->second.version, {}};
+                if (auto cancelled_at = found->second.cancelled_at)
+                    notice.cancelled_at = wall_clock{}.to_wall(*cancelled_at);
                 leader->on_cancel(notice, now);
             }
             notify_leader_at(id, std::max(outage_until, leader_refused_until));
             return;
         }
-        if (auto j = jobs.find(id); j != jobs.end() && (!leader_ignores_dependents ||
-                                                        j->second.job.spec.predecessors.empty()))
-            leader->on_job_record(id, j->second.job, j->second.version, now);
+        if (auto found = jobs.find(id);
+            found != jobs.end() &&
+            (!leader_ignores_dependents || found->second.job.spec.predecessors.empty()))
+            leader->on_job_record(id, found->second.job, found->second.version, now);
     });
 }
 
 void simulation::notify_leader_at(const std::string &id, time_point time) {
-    at(time + seconds{0.01}, [this, id] { notify_leader(id); });
+    schedule(time + seconds{0.01}, [this, id] { notify_leader(id); });
 }
 
 } // namespace spindlecroft::test
--- a/tests/simulated_users.cpp
+++ b/tests/simulated_users.cpp
@@ -1,4 +1,5 @@
-// The users of the randomized simulation: submissions, dependencies and cancels.
+// The users of the randomized simulation: they submit jobs, with predecessors or without, and
+// cancel jobs.
 #include "builders.hpp"
 #include "randomized_simulation.hpp"
 #include <algorithm>
@@ -7,66 +8,66 @@
 namespace spindlecroft::test {
 
 void simulation::submit(int number) {
-    wire::job_record r;
-    r.accepted_at = wall_clock{}.to_wall(now);
-    r.spec = test::small_job(fmt::format("job-{}", number));
-    r.spec.team = chance(0.35) ? "red" : "blue";
-    r.spec.tasks = static_cast<std::uint32_t>(integer(1, 6));
-    r.spec.cpus = integer(1, 2) * 2;
-    r.spec.estimate = between(5, 30);
+    wire::job_record record;
+    record.accepted_at = wall_clock{}.to_wall(now);
+    record.spec = test::small_job(fmt::format("job-{}", number));
+    record.spec.team = chance(0.35) ? "red" : "blue";
+    record.spec.tasks = static_cast<std::uint32_t>(random_integer(1, 6));
+    record.spec.cpus = random_integer(1, 2) * 2;
+    record.spec.estimate = random_duration(5, 30);
     if (chance(0.25)) {
-        r.spec.shape = job_shape::service;
-        r.spec.priority = priority_class::critical;
-        r.spec.may_use_spot = false;
-        r.spec.spread_across_zones = true;
-        r.spec.tasks = static_cast<std::uint32_t>(integer(1, 3));
-        r.spec.cpus = 2;
+        record.spec.shape = job_shape::service;
+        record.spec.priority = priority_class::critical;
+        record.spec.may_use_spot = false;
+        record.spec.spread_across_zones = true;
+        record.spec.tasks = static_cast<std::uint32_t>(random_integer(1, 3));
+        record.spec.cpus = 2;
     }
-    submitted[r.spec.id] = r.spec;
+    submitted[record.spec.id] = record.spec;
     if (chance(0.4))
-        chain(r, number);
-    jobs[r.spec.id] = {r, ++revision, {}};
-    notify_leader(r.spec.id);
+        add_predecessors(record, number);
+    jobs[record.spec.id] = {record, ++revision, {}};
+    notify_leader(record.spec.id);
 }
 
-void simulation::chain(wire::job_record &r, int number) {
-    auto &own = predecessors_of[r.spec.id];
-    for (int k = integer(1, 3); k > 0 && number > 1; --k) {
-        auto id = fmt::format("job-{}", integer(std::max(1, number - 8), number - 1));
+void simulation::add_predecessors(wire::job_record &record, int number) {
+    auto &predecessors = predecessors_of[record.spec.id];
+    for (int remaining = random_integer(1, 3); remaining > 0 && number > 1; --remaining) {
+        auto id = fmt::format("job-{}", random_integer(std::max(1, number - 8), number - 1));
         if (submitted.at(id).shape == job_shape::service ||
-            std::find(own.begin(), own.end(), id) != own.end())
+            std::find(predecessors.begin(), predecessors.end(), id) != predecessors.end())
             continue;
-        own.push_back(id);
-        auto e = ended.find(id);
+        predecessors.push_back(id);
+        auto ended_job = ended.find(id);
         if (cancel_confirmed.count(id))
-            r.cancelled = true;
-        else if (e == ended.end())
-            r.spec.predecessors.push_back(id);
+            record.cancelled = true;
+        else if (ended_job == ended.end())
+            record.spec.predecessors.push_back(id);
     }
-    chained += !own.empty();
-    if (!r.cancelled)
+    jobs_with_predecessors += !predecessors.empty();
+    if (!record.cancelled)
         return;
-    r.spec.predecessors.clear();
-    cancel_confirmed.insert(r.spec.id);
+    record.spec.predecessors.clear();
+    cancel_confirmed.insert(record.spec.id);
 }
 
 void simulation::cancel(const std::string &id) {
-    auto j = jobs.find(id);
-    if (j == jobs.end() || j->second.job.cancelled || now < outage_until)
+    auto found = jobs.find(id);
+    if (found == jobs.end() || found->second.job.cancelled || now < outage_until)
         return;
     cancel_confirmed.insert(id);
     cancel_dependents(id);
-    j->second.job.cancelled = true;
-    j->second.job.spec.predecessors.clear();
-    j->second.version = ++revision;
-    j->second.cancelled_at = now;
+    found->second.job.cancelled = true;
+    found->second.job.spec.predecessors.clear();
+    found->second.version = ++revision;
+    found->second.cancelled_at = now;
     notify_leader(id);
 }
 
 void simulation::cancel_a_predecessor() {
-    for (auto &[id, r] : jobs)
-        if (!r.job.cancelled && !r.job.spec.predecessors.empty()) {
-            cancel(r.job.spec.predecessors.front());
+    for (auto &[id, record] : jobs)
+        if (!record.job.cancelled && !record.job.spec.predecessors.empty()) {
+            cancel(record.job.spec.predecessors.front());
             return;
         }
 }
@@ -75,7 +76,7 @@
     for (auto &[dependent, names] : predecessors_of)
         if (std::find(names.begin(), names.end(), id) != names.end() &&
             cancel_confirmed.insert(dependent).second) {
-            ++cancelled_with;
+            ++cancelled_dependents;
             cancel_dependents(dependent);
         }
 }
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -1,4 +1,4 @@
-// The workers of the randomized simulation.
+// The worker agents of the randomized simulation: execution of commands, heartbeats and leases.
 #include "randomized_simulation.hpp"
 #include <algorithm>
 
@@ -8,164 +8,166 @@
     return std::stoi(job.substr(job.find('-') + 1)) % 8 == 0;
 }
 
-void simulation::execute(worker &w, const std::vector<command> &commands) {
-    for (auto &order : commands)
-        switch (order.kind) {
+void simulation::execute(worker &agent, const std::vector<command> &commands) {
+    for (auto &cmd : commands)
+        switch (cmd.kind) {
         case command_kind::remove:
-            execute_remove(w, order);
+            execute_remove(agent, cmd);
             break;
         case command_kind::stop:
-            execute_stop(w, order);
+            execute_stop(agent, cmd);
             break;
         case command_kind::start:
-            execute_start(w, order);
+            execute_start(agent, cmd);
             break;
         }
 }
 
-void simulation::execute_remove(worker &w, const command &order) {
-    w.older.erase(order.attempt);
-    auto task = w.tasks.find({order.job, order.index});
-    if (task != w.tasks.end() && task->second.attempt == order.attempt &&
+void simulation::execute_remove(worker &agent, const command &cmd) {
+    agent.superseded.erase(cmd.attempt);
+    auto task = agent.tasks.find({cmd.job, cmd.index});
+    if (task != agent.tasks.end() && task->second.attempt == cmd.attempt &&
         task->second.state == task_state::exited)
-        w.tasks.erase(task);
+        agent.tasks.erase(task);
 }
 
-void simulation::execute_stop(worker &w, const command &order) {
-    auto task = w.tasks.find({order.job, order.index});
-    if (task == w.tasks.end() || task->second.attempt != order.attempt ||
+void simulation::execute_stop(worker &agent, const command &cmd) {
+    auto task = agent.tasks.find({cmd.job, cmd.index});
+    if (task == agent.tasks.end() || task->second.attempt != cmd.attempt ||
         task->second.state == task_state::exited)
         return;
     task->second.state = task_state::exited;
     task->second.cause = exit_cause::stopped;
 }
 
-void simulation::execute_start(worker &w, const command &order) {
-    if (w.older.count(order.attempt))
+void simulation::execute_start(worker &agent, const command &cmd) {
+    if (agent.superseded.count(cmd.attempt))
         return;
-    const task_key key{order.job, order.index};
-    auto former = w.tasks.find(key);
-    if (former != w.tasks.end() &&
-        (former->second.attempt == order.attempt || former->second.state != task_state::exited))
-        return; // known already, or busy
+    const task_key key{cmd.job, cmd.index};
+    auto previous = agent.tasks.find(key);
+    if (previous != agent.tasks.end() &&
+        (previous->second.attempt == cmd.attempt || previous->second.state != task_state::exited))
+        return; // a repeated command, or an earlier attempt still runs
     double cpus = 0;
-    const double size = w.type == "small" ? 4 : 16;
-    for (auto &[other, task] : w.tasks)
+    const double size = agent.type == "small" ? 4 : 16;
+    for (auto &[other, task] : agent.tasks)
         if (task.state != task_state::exited)
             cpus += submitted.at(other.first).cpus;
-    if (former != w.tasks.end())
-        w.older[former->second.attempt] = key;
-    auto &spec = submitted.at(order.job);
+    if (previous != agent.tasks.end())
+        agent.superseded[previous->second.attempt] = key;
+    auto &spec = submitted.at(cmd.job);
     worker_task task;
-    task.attempt = order.attempt;
+    task.attempt = cmd.attempt;
     if (cpus + spec.cpus > size + 1e-9) {
         task.state = task_state::exited;
         task.cause = exit_cause::insufficient_resources;
     } else {
-        check_start(w, order.job, order.index, order.attempt);
+        check_start(agent, cmd.job, cmd.index, cmd.attempt);
         task.state = task_state::running;
-        task.until = now + (spec.shape == job_shape::service ? seconds{1e9} : between(3, 25));
-        if ((w.faulty && !calm) || fails_everywhere(order.job)) {
+        task.until =
+            now + (spec.shape == job_shape::service ? seconds{1e9} : random_duration(3, 25));
+        if ((agent.faulty && !is_fault_free) || fails_everywhere(cmd.job)) {
             task.until = now + seconds{0.5};
             task.cause = exit_cause::error;
         }
     }
-    w.tasks[key] = task;
+    agent.tasks[key] = task;
 }
 
-heartbeat simulation::make_heartbeat(worker &w) {
-    heartbeat r;
-    r.machine = w.name;
-    r.address = "10.0.0.1:1";
-    r.type = w.type;
-    r.zone = w.zone;
-    r.spot = w.spot;
-    r.incarnation = w.incarnation;
-    r.sequence = ++w.sequence;
-    r.token = w.token;
-    for (auto &[k, t] : w.tasks)
-        r.tasks.push_back({k.first, k.second, t.attempt, t.state, t.cause, false});
-    for (auto &[attempt, k] : w.older)
-        r.tasks.push_back(
-            {k.first, k.second, attempt, task_state::exited, exit_cause::stopped, false});
-    return r;
+heartbeat simulation::make_heartbeat(worker &agent) {
+    heartbeat message;
+    message.machine = agent.name;
+    message.address = "10.0.0.1:1";
+    message.type = agent.type;
+    message.zone = agent.zone;
+    message.spot = agent.spot;
+    message.incarnation = agent.incarnation;
+    message.sequence = ++agent.sequence;
+    message.token = agent.token;
+    for (auto &[key, task] : agent.tasks)
+        message.tasks.push_back(
+            {key.first, key.second, task.attempt, task.state, task.cause, false});
+    for (auto &[attempt, key] : agent.superseded)
+        message.tasks.push_back(
+            {key.first, key.second, attempt, task_state::exited, exit_cause::stopped, false});
+    return message;
 }
 
-void simulation::advance_worker(worker &w) {
-    if (!w.alive || now < w.up_at || now < w.hang_until)
+void simulation::advance_worker(worker &agent) {
+    if (!agent.alive || now < agent.up_at || now < agent.hang_until)
         return;
-    if (now - w.lease_from > conf.lease_duration) {
-        w.tasks.clear();
-        w.older.clear();
-        ++w.incarnation;
-        w.lease_from = now;
-        w.awaiting_answer = false;
+    if (now - agent.lease_from > conf.lease_duration) {
+        agent.tasks.clear();
+        agent.superseded.clear();
+        ++agent.incarnation;
+        agent.lease_from = now;
+        agent.awaiting_answer = false;
     }
-    for (auto &[k, t] : w.tasks)
-        if (t.state == task_state::running && now >= t.until) {
-            t.state = task_state::exited;
-            if (t.cause == exit_cause::none) {
-                t.cause = exit_cause::done;
-                completed[k] = true;
-                // A cancellation meets the end, as its user sees fit: before or after the
-                // heartbeat.
+    for (auto &[key, task] : agent.tasks)
+        if (task.state == task_state::running && now >= task.until) {
+            task.state = task_state::exited;
+            if (task.cause == exit_cause::none) {
+                task.cause = exit_cause::done;
+                completed[key] = true;
+                // The user may cancel just when the task ends, before or after the heartbeat that
+                // reports the end.
                 if (chance(0.05)) {
-                    ++at_end;
-                    at(now + between(0, 2), [this, job = k.first] { cancel(job); });
+                    ++cancels_at_task_end;
+                    schedule(now + random_duration(0, 2), [this, job = key.first] { cancel(job); });
                 }
             }
-            w.next_heartbeat = std::min(w.next_heartbeat, now);
+            agent.next_heartbeat = std::min(agent.next_heartbeat, now);
         }
-    if (!w.awaiting_answer && now >= w.next_heartbeat)
-        send_heartbeat(w);
+    if (!agent.awaiting_answer && now >= agent.next_heartbeat)
+        send_heartbeat(agent);
 }
 
-void simulation::send_heartbeat(worker &w) {
-    w.awaiting_answer = true;
-    auto name = w.name;
-    auto r = make_heartbeat(w);
+void simulation::send_heartbeat(worker &agent) {
+    agent.awaiting_answer = true;
+    auto name = agent.name;
+    auto message = make_heartbeat(agent);
     auto sent = now;
-    auto incarnation = w.incarnation;
-    at(now + 4s, [this, name, incarnation, sent] {
+    auto incarnation = agent.incarnation;
+    schedule(now + 4s, [this, name, incarnation, sent] {
         finish_heartbeat(name, incarnation, sent, {}, 0, false);
     });
-    // A copy of the heartbeat comes once more, up to three leases later and perhaps to another
-    // leader; the answer to it reaches nobody.
+    // A duplicate of the heartbeat arrives up to three lease durations later, perhaps at another
+    // leader; the answer to it is lost.
     if (chance(0.04))
-        at(now + between(2, 60), [this, name, r] {
+        schedule(now + random_duration(2, 60), [this, name, message] {
             auto leader = scheduler;
             if (!leader)
                 return;
-            auto age = leader->on_heartbeat(r, now);
+            auto age = leader->on_heartbeat(message, now);
             if (age == control::scheduler::heartbeat_age::obsolete)
                 return;
-            ++copies;
+            ++duplicate_heartbeats;
             if (!may_renew())
                 return;
             leader->commands_for_response(name, now);
             leader->on_response_sent(name, age, now);
         });
-    if (chance(0.02) || now < w.outbound_partition_until)
+    if (chance(0.02) || now < agent.outbound_partition_until)
         return;
-    auto arrives = now + delay();
-    at(arrives, [this, name, incarnation, sent, r] {
+    auto arrives = now + random_delay();
+    schedule(arrives, [this, name, incarnation, sent, message] {
         if (!scheduler || now > sent + 30s)
             return;
         auto leader = scheduler;
-        auto age = leader->on_heartbeat(r, now);
+        auto age = leader->on_heartbeat(message, now);
         if (age == control::scheduler::heartbeat_age::obsolete)
             return;
         bool renew = may_renew();
-        if (!renew && !leader->has_no_tasks(r))
+        if (!renew && !leader->has_no_tasks(message))
             return;
         auto commands = leader->commands_for_response(name, now, renew);
         auto token = leader->token();
         leader->on_response_sent(name, age, now);
         if (chance(0.02) || now < workers.at(name).inbound_partition_until)
             return;
-        auto back = now + delay();
+        auto back = now + random_delay();
         if (back < sent + 4s)
-            at(back, [this, name, incarnation, sent, commands, token] {
+            schedule(back, [this, name, incarnation, sent, commands, token] {
                 finish_heartbeat(name, incarnation, sent, commands, token, true);
             });
     });
@@ -174,24 +176,24 @@
 void simulation::finish_heartbeat(const std::string &name, std::uint64_t incarnation,
                                   time_point sent, const std::vector<command> &commands,
                                   std::uint64_t token, bool answered) {
-    auto i = workers.find(name);
-    if (i == workers.end() || !i->second.alive)
+    auto found = workers.find(name);
+    if (found == workers.end() || !found->second.alive)
         return;
-    auto &w = i->second;
-    if (!w.awaiting_answer || w.incarnation != incarnation ||
-        sent < w.next_heartbeat - seconds{3.9})
+    auto &agent = found->second;
+    if (!agent.awaiting_answer || agent.incarnation != incarnation ||
+        sent < agent.next_heartbeat - seconds{3.9})
         return;
-    if (now < w.hang_until)
+    if (now < agent.hang_until)
         return;
-    w.awaiting_answer = false;
-    w.next_heartbeat = now + between(2.2, 3.7);
-    if (!answered || token < w.token)
+    agent.awaiting_answer = false;
+    agent.next_heartbeat = now + random_duration(2.2, 3.7);
+    if (!answered || token < agent.token)
         return;
-    w.token = token;
-    w.lease_from = std::max(w.lease_from, sent);
-    execute(w, commands);
+    agent.token = token;
+    agent.lease_from = std::max(agent.lease_from, sent);
+    execute(agent, commands);
     if (!commands.empty())
-        w.next_heartbeat = now + seconds{0.5};
+        agent.next_heartbeat = now + seconds{0.5};
 }
 
 } // namespace spindlecroft::test
