--- a/tests/builders.cpp
+++ b/tests/builders.cpp
@@ -3,22 +3,23 @@
 namespace spindlecroft::test {
 
 settings::settings small_settings() {
-    settings::settings s;
-    s.node = "n0";
-    s.zone = std::string("a"); // GCC 12 warns falsely on an assigned literal (its bug 105651)
-    s.teams = {{"red", 8, 16, 0, 0}, {"blue", 0, 0, 0, 0}};
-    s.heartbeat_interval = 3s;
-    s.lease_duration = 20s;
-    s.cancel_deadline = 40s;
-    s.key_value_rps = 100;
-    s.key_value_write_rps = 25;
-    s.value_kb = 8;
-    s.txn_ops = 16;
-    s.cloud_rps = 5;
-    s.machine_list_lag = 8s;
-    s.max_connections = 1000;
-    s.options.spare_replicas = 0;
-    return s;
+    settings::settings conf;
+    conf.node = "n0";
+    // An assigned string literal triggers a false warning of GCC 12 (GCC bug 105651).
+    conf.zone = std::string("a");
+    conf.teams = {{"red", 8, 16, 0, 0}, {"blue", 0, 0, 0, 0}};
+    conf.heartbeat_interval = 3s;
+    conf.lease_duration = 20s;
+    conf.cancel_deadline = 40s;
+    conf.key_value_rps = 100;
+    conf.key_value_write_rps = 25;
+    conf.value_kb = 8;
+    conf.txn_ops = 16;
+    conf.cloud_rps = 5;
+    conf.machine_list_lag = 8s;
+    conf.max_connections = 1000;
+    conf.options.spare_replicas = 0;
+    return conf;
 }
 
 std::vector<machine_type> small_types() {
@@ -27,18 +28,18 @@
 }
 
 job_spec small_job(const std::string &id) {
-    job_spec s;
-    s.id = id;
-    s.job_class = "batch";
-    s.team = "blue";
-    s.tasks = 1;
-    s.cpus = 4;
-    s.memory_gb = 8;
-    s.image = "img";
-    s.image_gb = 1;
-    s.estimate = 30s;
-    s.may_use_spot = true;
-    return s;
+    job_spec spec;
+    spec.id = id;
+    spec.job_class = "batch";
+    spec.team = "blue";
+    spec.tasks = 1;
+    spec.cpus = 4;
+    spec.memory_gb = 8;
+    spec.image = "img";
+    spec.image_gb = 1;
+    spec.estimate = 30s;
+    spec.may_use_spot = true;
+    return spec;
 }
 
 } // namespace spindlecroft::test
--- a/tests/builders.hpp
+++ b/tests/builders.hpp
@@ -1,4 +1,4 @@
-// Settings, machine types and jobs that the tests share.
+// Settings, machine types and jobs shared by the tests.
 #pragma once
 #include "settings/settings.hpp"
 #include "test_time.hpp"
@@ -8,13 +8,14 @@
 
 namespace spindlecroft::test {
 
-// A cluster with short time limits and two teams: red has a guarantee and a limit, blue neither.
+// Settings of a cluster with short time limits and two teams: team red has guaranteed cores and a
+// core limit, team blue has neither.
 settings::settings small_settings();
 
-// Two machine types, of 4 and of 16 cores, in zones a and b.
+// Returns two machine types, with 4 and 16 cores, available in zones a and b.
 std::vector<machine_type> small_types();
 
-// A job of one task of 4 cores, of team blue, that may run on spot machines.
+// Returns a job of team blue with one task of 4 cores that may run on spot machines.
 job_spec small_job(const std::string &id);
 
 } // namespace spindlecroft::test
--- a/tests/loopback_ports.cpp
+++ b/tests/loopback_ports.cpp
@@ -15,7 +15,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-constexpr int first_candidate_port = 10'000; // below are well-known services
+constexpr int first_candidate_port = 10'000; // lower ports belong to well-known services
 constexpr int last_port = 65'535;
 constexpr int default_ephemeral_first = 32'768;
 constexpr int ports_per_block = 16;
@@ -27,7 +27,7 @@
     int blocks() const { return std::max(0, (last - first + 1) / ports_per_block); }
 };
 
-// The larger part of the ports that the kernel does not give out by itself.
+// Returns the larger of the two port ranges below and above the kernel's ephemeral range.
 port_range stable_ports() {
     port_range ephemeral{default_ephemeral_first, last_port};
     std::ifstream settings("/proc/sys/net/ipv4/ip_local_port_range");
@@ -36,22 +36,22 @@
     const port_range above{ephemeral.last + 1, last_port};
     const port_range &larger = below.blocks() >= above.blocks() ? below : above;
     if (larger.blocks() < fewest_blocks)
-        throw std::runtime_error("ip_local_port_range leaves too few ports to the tests");
+        throw std::runtime_error("too few ports for the tests outside ip_local_port_range");
     return larger;
 }
 
-// A socket bound to the port, or none if the port is taken. Without reuse_address, so that two
-// processes can't both hold a port.
-std::optional<tcp::acceptor> bind_alone(asio::io_context &io, int port) {
+// Returns a socket bound to the port, or nullopt if the port is in use. reuse_address is not set,
+// so that two processes can't bind the same port.
+std::optional<tcp::acceptor> bind_exclusively(asio::io_context &io, int port) {
     tcp::acceptor acceptor(io, tcp::v4());
-    boost::system::error_code ec;
-    acceptor.bind({asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)}, ec);
-    if (ec)
+    boost::system::error_code error;
+    acceptor.bind({asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)}, error);
+    if (error)
         return std::nullopt;
     return acceptor;
 }
 
-// Gives out the ports of blocks. A block belongs to the process that holds its first port.
+// Allocates ports in blocks. A process owns a block while it has the first port of the block bound.
 class port_allocator {
   public:
     int next() {
@@ -59,7 +59,7 @@
             if (next_port_ == block_end_)
                 claim_block();
             const int port = next_port_++;
-            if (bind_alone(io_, port)) // free; closed again at once
+            if (bind_exclusively(io_, port)) // the port is free; the socket is closed at once
                 return port;
         }
     }
@@ -70,7 +70,7 @@
         for (int tried = 0; tried < blocks; ++tried) {
             const int first = range_.first + next_block_ * ports_per_block;
             next_block_ = (next_block_ + 1) % blocks;
-            auto claim = bind_alone(io_, first);
+            auto claim = bind_exclusively(io_, first);
             if (!claim)
                 continue;
             claims_.push_back(std::move(*claim));
@@ -84,7 +84,7 @@
     asio::io_context io_;
     std::list<tcp::acceptor> claims_;
     port_range range_ = stable_ports();
-    int next_block_ = ::getpid() % range_.blocks(); // processes begin at different blocks
+    int next_block_ = ::getpid() % range_.blocks(); // processes start at different blocks
     int next_port_ = 0;
     int block_end_ = 0;
 };
--- a/tests/loopback_ports.hpp
+++ b/tests/loopback_ports.hpp
@@ -1,12 +1,12 @@
-// Ports on loopback for servers that tests start, stop and start again.
+// Loopback ports for servers that tests start, stop and restart.
 #pragma once
 #include "settings/settings.hpp"
 
 namespace spindlecroft::test {
 
-// An address on 127.0.0.1 that is free now and that no other test process is given while this
-// process lives. Its port is outside the range from which the kernel serves binds to port 0 and
-// outgoing connections, so that it stays free while the server at it is down.
+// Returns an address on 127.0.0.1 whose port is free and is not returned to any other test process
+// while this process runs. The port is outside the kernel's ephemeral range, which serves binds to
+// port 0 and outgoing connections, so that it stays free while the server that uses it is down.
 settings::address free_address();
 
 } // namespace spindlecroft::test
--- a/tests/replace_first.hpp
+++ b/tests/replace_first.hpp
@@ -1,10 +1,10 @@
-// Text helper for tests that alter one field of a valid message or file.
+// Text replacement for tests that change one field of a valid message or file.
 #pragma once
 #include <string>
 
 namespace spindlecroft::test {
 
-// The text with the first occurrence of `from`, which must exist, replaced by `to`.
+// Returns the text with the first occurrence of `from`, which must exist, replaced by `to`.
 inline std::string replace_first(std::string text, const std::string &from, const std::string &to) {
     auto position = text.find(from);
     return text.replace(position, from.size(), to);
--- a/tests/upgrade/process_cluster.hpp
+++ b/tests/upgrade/process_cluster.hpp
@@ -1,4 +1,4 @@
-// Three controller processes, each of the version in production or of the present one, on loopback.
+// Three controller processes on loopback, each running the production or the present version.
 #pragma once
 #include "cluster_stand_ins.hpp"
 #include <array>
@@ -8,6 +8,7 @@
 
 namespace spindlecroft::test {
 
+// The version in production or the one built from this source tree.
 enum class version { production, present };
 
 class process_cluster : public controllers {
@@ -18,15 +19,16 @@
     process_cluster(const process_cluster &) = delete;
     process_cluster &operator=(const process_cluster &) = delete;
 
-    void start(std::size_t node, version what);
-    // Kills without a signal that the process could handle, as the machine's end would.
+    void start(std::size_t node, version release);
+    // Kills the controller with SIGKILL, which it can't handle, as a machine failure would.
     void kill(std::size_t node);
-    void replace(std::size_t node, version what) {
+    void replace(std::size_t node, version release) {
         kill(node);
-        start(node, what);
+        start(node, release);
     }
 
   private:
+    // Writes the settings file of the controller in a form that both versions read.
     void write_settings(std::size_t node) const;
     std::filesystem::path folder_;
     std::array<pid_t, 3> pids_{};
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -1,5 +1,7 @@
-// The version in production and the present one as real processes next to each other, on each
-// other's records, against the stand-ins of this repository.
+// Runs controllers of the production version and of the present version as processes of one
+// cluster, so that each reads the other's records. Guards against upgrades and downgrades that lose
+// jobs, start tasks twice or undo confirmed cancels. Workers, users and the key-value store are
+// simulated by this process.
 #include "process_cluster.hpp"
 #include <gtest/gtest.h>
 #include <set>
@@ -9,14 +11,15 @@
 
 namespace {
 
-// Users and a worker who go on while controllers are replaced, and what they were told.
-struct day {
-    explicit day(const std::string &name) : cluster(name), worker(cluster) {}
+// Users and a worker that remain active while controllers are replaced. Records what the
+// controllers confirmed to the users.
+struct upgrade_scenario {
+    explicit upgrade_scenario(const std::string &name) : cluster(name), worker(cluster) {}
     process_cluster cluster;
     reporting_worker worker;
     int submitted = 0;
     std::set<std::string> accepted, cancelled, done;
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
 
     std::string submit() {
         auto id = fmt::format("job-{}", ++submitted);
@@ -38,30 +41,32 @@
             }
     }
 
-    // Whatever a node answers of a job must agree with all that users were told.
-    void look(const std::string &id) {
+    // Checks that the state of a job at every node agrees with what was confirmed to users.
+    void check_state(const std::string &id) {
         for (std::size_t node = 0; node < 3; ++node) {
             auto state = cluster.poll(node, id);
             if (!state.starts_with("200"))
                 continue;
             if (cancelled.count(id) && state != "200 aborted")
-                broken.push_back(fmt::format("{} was cancelled, now {}", id, state));
+                violations.push_back(
+                    fmt::format("{} was confirmed as cancelled, but its state is {}", id, state));
             if (done.count(id) && state != "200 done")
-                broken.push_back(fmt::format("{} was done, now {}", id, state));
+                violations.push_back(
+                    fmt::format("{} was reported as done, but its state is {}", id, state));
             if (!cancelled.count(id) && state == "200 aborted")
-                broken.push_back(id + " was never cancelled");
+                violations.push_back(id + " is cancelled without a request");
             if (state == "200 done")
                 done.insert(id);
         }
     }
 
-    // 404 for what was accepted.
-    void look_for_all() {
+    // Checks the state of every accepted job; no node may answer 404 for one.
+    void check_accepted_jobs() {
         for (auto &id : accepted) {
             for (std::size_t node = 0; node < 3; ++node)
                 if (cluster.poll(node, id) == "404")
-                    broken.push_back(id + " is forgotten");
-            look(id);
+                    violations.push_back(id + " was accepted but is not found");
+            check_state(id);
         }
     }
 
@@ -70,21 +75,21 @@
         cluster.run(50ms);
     }
 
-    bool until(const std::function<bool()> &what, seconds time_limit = 40s) {
+    bool until(const std::function<bool()> &condition, seconds time_limit = 40s) {
         auto limit = net::steady_now() + time_limit;
-        while (!what() && net::steady_now() < limit)
+        while (!condition() && net::steady_now() < limit)
             step();
-        return what();
+        return condition();
     }
 
-    bool leader_found() {
+    bool wait_for_leader() {
         auto seen = worker.answers;
         return until([&] { return worker.answers > seen; });
     }
 
-    // Users go on for a while: one job runs to its end, one is cancelled, one stays.
-    void work() {
-        ASSERT_TRUE(leader_found());
+    // Submits three jobs: one runs to its end, one is cancelled, one keeps running.
+    void run_workload() {
+        ASSERT_TRUE(wait_for_leader());
         auto first = submit(), second = submit(), third = submit();
         ASSERT_FALSE(first.empty() || second.empty() || third.empty());
         ASSERT_TRUE(until([&] { return worker.runs(first) && worker.runs(second); }));
@@ -92,16 +97,17 @@
         cancel(second);
         EXPECT_TRUE(until([&] { return !worker.runs(second); }));
         EXPECT_TRUE(until([&] {
-            look(first);
+            check_state(first);
             return done.count(first) > 0;
         }));
-        look(second);
-        look(third);
+        check_state(second);
+        check_state(third);
     }
 
-    void expect_all_kept() {
-        look_for_all();
-        EXPECT_TRUE(broken.empty()) << broken.size() << ", first: " << broken.front();
+    void expect_confirmed_states_kept() {
+        check_accepted_jobs();
+        EXPECT_TRUE(violations.empty())
+            << violations.size() << " violations, first: " << violations.front();
         EXPECT_TRUE(worker.started_twice.empty()) << worker.started_twice.front();
         for (auto &id : accepted) {
             if (cancelled.count(id) || done.count(id))
@@ -114,84 +120,85 @@
 } // namespace
 
 TEST(upgrade, controllers_are_replaced_one_by_one_under_load) {
-    day d("replaced");
+    upgrade_scenario scenario("replaced");
     for (std::size_t node = 0; node < 3; ++node)
-        d.cluster.start(node, version::production);
-    ASSERT_TRUE(d.cluster.ready());
-    d.work();
+        scenario.cluster.start(node, version::production);
+    ASSERT_TRUE(scenario.cluster.ready());
+    scenario.run_workload();
     for (std::size_t node = 0; node < 3; ++node) {
-        d.cluster.replace(node, version::present);
-        if (node == 0) // one dies before its turn, and comes back as it was
-            d.cluster.replace(2, version::production);
-        d.work();
-        ASSERT_TRUE(d.cluster.ready());
+        scenario.cluster.replace(node, version::present);
+        if (node == 0) // a controller that is not yet upgraded restarts
+            scenario.cluster.replace(2, version::production);
+        scenario.run_workload();
+        ASSERT_TRUE(scenario.cluster.ready());
     }
-    d.expect_all_kept();
-    // Now that all are new: what is new may be asked for.
-    auto last = d.submit();
+    scenario.expect_confirmed_states_kept();
+    // With every controller upgraded, a job with predecessors is accepted.
+    auto last = scenario.submit();
     auto list = "[\"" + last + "\"]";
-    ASSERT_EQ(d.cluster.submit(0, submission("job-900", 0.1, "blue", list)), 201);
-    ASSERT_TRUE(d.until([&] { return d.worker.runs(last); }));
-    EXPECT_FALSE(d.worker.runs("job-900"));
-    d.worker.finish(last);
-    EXPECT_TRUE(d.until([&] { return d.worker.runs("job-900"); }));
+    ASSERT_EQ(scenario.cluster.submit(0, submission("job-900", 0.1, "blue", list)), 201);
+    ASSERT_TRUE(scenario.until([&] { return scenario.worker.runs(last); }));
+    EXPECT_FALSE(scenario.worker.runs("job-900"));
+    scenario.worker.finish(last);
+    EXPECT_TRUE(scenario.until([&] { return scenario.worker.runs("job-900"); }));
 }
 
-// Leadership passes from old to new, from new to old and back, with running tasks each time.
+// Leadership passes from the production to the present version and back while tasks run.
 TEST(upgrade, leadership_passes_in_both_directions) {
-    day d("directions");
+    upgrade_scenario scenario("directions");
     std::array<version, 3> runs{version::production, version::present, version::production};
     for (std::size_t node = 0; node < 3; ++node)
-        d.cluster.start(node, runs[node]);
-    ASSERT_TRUE(d.cluster.ready());
+        scenario.cluster.start(node, runs[node]);
+    ASSERT_TRUE(scenario.cluster.ready());
     int old_to_new = 0, new_to_old = 0;
     for (int change = 0; change < 12 && (old_to_new < 2 || new_to_old < 1); ++change) {
-        d.work();
-        auto former = d.worker.node;
-        d.cluster.kill(former);
-        ASSERT_TRUE(d.until([&] { return d.worker.node != former && d.worker.report(); }));
-        auto next = d.worker.node;
+        scenario.run_workload();
+        auto former = scenario.worker.node;
+        scenario.cluster.kill(former);
+        ASSERT_TRUE(scenario.until(
+            [&] { return scenario.worker.node != former && scenario.worker.report(); }));
+        auto next = scenario.worker.node;
         old_to_new += runs[former] == version::production && runs[next] == version::present;
         new_to_old += runs[former] == version::present && runs[next] == version::production;
-        // Whoever comes back is of the other version every other time, so that both meet.
+        // Every third restart changes the version, so that leadership passes between both versions.
         if (change % 3 == 2)
             runs[former] =
                 runs[former] == version::present ? version::production : version::present;
-        d.cluster.start(former, runs[former]);
-        ASSERT_TRUE(d.cluster.ready());
+        scenario.cluster.start(former, runs[former]);
+        ASSERT_TRUE(scenario.cluster.ready());
     }
     EXPECT_GE(old_to_new, 1);
     EXPECT_GE(new_to_old, 1);
-    d.expect_all_kept();
+    scenario.expect_confirmed_states_kept();
 }
 
-// Guards against too_early: production neither starts a job with predecessors nor touches its
-// record.
-TEST(upgrade, production_leaves_a_job_with_predecessors_alone) {
-    day d("left_alone");
+// Guards against a job that starts before its predecessors are done: the production version must
+// neither start a job with predecessors nor change its record.
+TEST(upgrade, production_version_does_not_start_jobs_with_predecessors) {
+    upgrade_scenario scenario("left_alone");
     wire::job_record record;
     record.accepted_at = wall_at(1);
     record.spec = small_job("job-800");
     record.spec.cpus = 0.1;
     record.spec.predecessors = {"job-1"};
-    d.cluster.state.put("j/a/job-800", json::parse(wire::encode_job_record(record)), 0);
-    ++d.cluster.state.ledger;
+    scenario.cluster.state.put("j/a/job-800", json::parse(wire::encode_job_record(record)), 0);
+    ++scenario.cluster.state.ledger;
     for (std::size_t node = 0; node < 3; ++node)
-        d.cluster.start(node, version::production);
-    ASSERT_TRUE(d.cluster.ready());
-    ASSERT_TRUE(d.leader_found());
-    ASSERT_EQ(d.submit(), "job-1");
-    ASSERT_TRUE(d.until([&] { return d.worker.runs("job-1"); }));
-    auto until = net::steady_now() + 3s;
-    d.until([&] { return net::steady_now() > until; });
-    EXPECT_FALSE(d.worker.runs("job-800"));
-    EXPECT_EQ(d.cluster.state.keys.count("j/a/job-800"), 1u);
+        scenario.cluster.start(node, version::production);
+    ASSERT_TRUE(scenario.cluster.ready());
+    ASSERT_TRUE(scenario.wait_for_leader());
+    ASSERT_EQ(scenario.submit(), "job-1");
+    ASSERT_TRUE(scenario.until([&] { return scenario.worker.runs("job-1"); }));
+    auto end = net::steady_now() + 3s;
+    scenario.until([&] { return net::steady_now() > end; });
+    EXPECT_FALSE(scenario.worker.runs("job-800"));
+    EXPECT_EQ(scenario.cluster.state.keys.count("j/a/job-800"), 1u);
     for (std::size_t node = 0; node < 3; ++node)
-        d.cluster.replace(node, version::present);
-    ASSERT_TRUE(d.cluster.ready());
-    ASSERT_TRUE(d.leader_found());
-    EXPECT_EQ(d.cluster.poll(0, "job-800"), "200 pending");
-    EXPECT_FALSE(d.worker.runs("job-800"));
-    d.worker.finish("job-1");
-    EXPECT_TRUE(d.until([&] { return d.worker.runs("job-800"); }));
+        scenario.cluster.replace(node, version::present);
+    ASSERT_TRUE(scenario.cluster.ready());
+    ASSERT_TRUE(scenario.wait_for_leader());
+    EXPECT_EQ(scenario.cluster.poll(0, "job-800"), "200 pending");
+    EXPECT_FALSE(scenario.worker.runs("job-800"));
+    scenario.worker.finish("job-1");
+    EXPECT_TRUE(scenario.until([&] { return scenario.worker.runs("job-800"); }));
 }
