--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -1,6 +1,7 @@
-// Stand-ins for what surrounds controllers on loopback: the key-value store, users and a worker by
-// PROTOCOL, and a cluster of three controllers in this process. Real time, a few seconds; limits
-// are generous so that a busy machine only makes it slower.
+// Simulated surroundings of controllers on loopback, as PROTOCOL describes them: the key-value
+// store, users and a worker; and a cluster of three controllers in this process. Tests run in real
+// time for a few seconds; their time limits are generous so that a busy machine only makes them
+// slower.
 #pragma once
 #include "builders.hpp"
 #include "constants.hpp"
@@ -18,8 +19,8 @@
 namespace json = boost::json;
 using net::awaitable;
 
-// Keys, revisions, leases and watches of the key-value store. Each controller has a door of its
-// own, so that one can be refused alone.
+// The key-value store with its keys, revisions, leases and watches. Each controller has a server of
+// its own, so that a test can refuse the requests of a single controller.
 struct state_service {
     struct kept {
         json::value data;
@@ -33,10 +34,10 @@
     net::asio::io_context &io;
     std::map<std::string, kept> keys;
     std::vector<change> changes;
-    std::map<std::uint64_t, std::pair<seconds, time_point>> loans; // length, end
+    std::map<std::uint64_t, std::pair<seconds, time_point>> loans; // duration and end of each lease
     std::uint64_t ledger = 100, loan_count = 0;
     bool outage = false;
-    std::size_t ended_reads = 0; // of single jobs' ended records
+    std::size_t ended_reads = 0; // number of reads of a single job's ended record
     std::vector<bool> refused = std::vector<bool>(3);
     std::vector<std::unique_ptr<net::server>> doors;
 
@@ -45,16 +46,16 @@
     settings::address open_door(std::size_t node) {
         auto at = free_address();
         doors.push_back(std::make_unique<net::server>(
-            io, at, [this, node](net::request r) { return answer(node, std::move(r)); },
+            io, at, [this, node](net::request message) { return answer(node, std::move(message)); },
             net::server_limits{}, "state"));
         doors.back()->start();
         return at;
     }
 
     void set_outage(bool on) {
-        if (outage && !on) // every lease has its full time again
-            for (auto &[id, l] : loans)
-                l.second = net::steady_now() + l.first;
+        if (outage && !on) // after an outage every lease starts again with its full duration
+            for (auto &[id, lease] : loans)
+                lease.second = net::steady_now() + lease.first;
         outage = on;
     }
 
@@ -68,106 +69,107 @@
     }
     void end_loan(std::uint64_t id) {
         loans.erase(id);
-        std::vector<std::string> gone;
-        for (auto &[key, k] : keys)
-            if (k.loan == id)
-                gone.push_back(key);
-        if (!gone.empty())
+        std::vector<std::string> expired_keys;
+        for (auto &[key, entry] : keys)
+            if (entry.loan == id)
+                expired_keys.push_back(key);
+        if (!expired_keys.empty())
             ++ledger;
-        for (auto &key : gone)
+        for (auto &key : expired_keys)
             drop(key);
     }
     void expire() {
         if (outage)
             return;
-        std::vector<std::uint64_t> over;
-        for (auto &[id, l] : loans)
-            if (net::steady_now() > l.second)
-                over.push_back(id);
-        for (auto id : over)
+        std::vector<std::uint64_t> expired;
+        for (auto &[id, lease] : loans)
+            if (net::steady_now() > lease.second)
+                expired.push_back(id);
+        for (auto id : expired)
             end_loan(id);
     }
 
     static std::map<std::string, std::string> query(const std::string &target) {
-        std::map<std::string, std::string> out;
+        std::map<std::string, std::string> parameters;
         auto from = target.find('?');
         while (from != std::string::npos) {
             auto to = target.find('&', from + 1);
             auto part = target.substr(from + 1, to == std::string::npos ? to : to - from - 1);
-            auto eq = part.find('=');
-            out[part.substr(0, eq)] = part.substr(eq + 1);
+            auto equals_sign = part.find('=');
+            parameters[part.substr(0, equals_sign)] = part.substr(equals_sign + 1);
             from = to;
         }
-        return out;
+        return parameters;
     }
 
-    net::response say(int status, const json::object &o) const {
-        return {status, json::serialize(o), 0, false};
+    net::response say(int status, const json::object &body) const {
+        return {status, json::serialize(body), 0, false};
     }
 
-    awaitable<net::response> answer(std::size_t node, net::request r) {
+    awaitable<net::response> answer(std::size_t node, net::request message) {
         expire();
-        auto path = r.target.substr(0, r.target.find('?'));
-        auto q = query(r.target);
+        auto path = message.target.substr(0, message.target.find('?'));
+        auto parameters = query(message.target);
         if (path == "/watch")
-            co_return co_await watch(node, q);
+            co_return co_await watch(node, parameters);
         if (outage || refused[node])
             co_return say(503, {{"error", "trouble"}});
         if (path == "/kv") {
             json::array items;
-            for (auto &[key, k] : keys)
-                if (key.starts_with(q["starts"]) && key > q["since"])
-                    items.push_back({{"key", key}, {"data", k.data}, {"mark", k.mark}});
+            for (auto &[key, entry] : keys)
+                if (key.starts_with(parameters["starts"]) && key > parameters["since"])
+                    items.push_back({{"key", key}, {"data", entry.data}, {"mark", entry.mark}});
             co_return say(200, {{"items", items}, {"more", false}, {"ledger", ledger}});
         }
         if (path.starts_with("/kv/")) {
-            auto i = keys.find(path.substr(4));
+            auto found = keys.find(path.substr(4));
             ended_reads += path.starts_with("/kv/j/e/");
-            if (i == keys.end())
+            if (found == keys.end())
                 co_return say(404, {{"ledger", ledger}});
-            json::object o{{"key", i->first}, {"data", i->second.data}, {"mark", i->second.mark}};
-            if (i->second.loan)
-                o["loan"] = i->second.loan;
-            co_return say(200, o);
+            json::object body{
+                {"key", found->first}, {"data", found->second.data}, {"mark", found->second.mark}};
+            if (found->second.loan)
+                body["loan"] = found->second.loan;
+            co_return say(200, body);
         }
         if (path == "/commit")
-            co_return commit(json::parse(r.body).as_object());
+            co_return commit(json::parse(message.body).as_object());
         if (path == "/leases") {
-            seconds s{json::parse(r.body).at("ttlMs").to_number<double>() / 1000};
-            loans[++loan_count] = {s, net::steady_now() + s};
+            seconds duration{json::parse(message.body).at("ttlMs").to_number<double>() / 1000};
+            loans[++loan_count] = {duration, net::steady_now() + duration};
             co_return say(200, {{"loan", loan_count}});
         }
         auto id = std::stoull(path.substr(8)); // /leases/{id}...
         if (!loans.count(id))
             co_return say(404, {});
-        if (r.method == "DELETE")
+        if (message.method == "DELETE")
             end_loan(id);
         else
             loans[id].second = net::steady_now() + loans[id].first;
         co_return say(200, {});
     }
 
-    net::response commit(const json::object &t) {
+    net::response commit(const json::object &transaction) {
         json::array failed;
-        if (auto *when = t.if_contains("when"))
-            for (auto &c : when->as_array()) {
-                auto key = std::string(c.at("key").as_string());
-                auto i = keys.find(key);
-                if ((i == keys.end() ? 0 : i->second.mark) !=
-                    c.at("mark").to_number<std::uint64_t>())
+        if (auto *when = transaction.if_contains("when"))
+            for (auto &condition : when->as_array()) {
+                auto key = std::string(condition.at("key").as_string());
+                auto found = keys.find(key);
+                if ((found == keys.end() ? 0 : found->second.mark) !=
+                    condition.at("mark").to_number<std::uint64_t>())
                     failed.push_back(json::string(key));
             }
         if (!failed.empty())
             return say(409, {{"failed", failed}, {"ledger", ledger}});
         ++ledger;
-        for (auto &op : t.at("apply").as_array()) {
-            auto &o = op.as_object();
-            if (auto *key = o.if_contains("drop")) {
+        for (auto &operation : transaction.at("apply").as_array()) {
+            auto &fields = operation.as_object();
+            if (auto *key = fields.if_contains("drop")) {
                 drop(std::string(key->as_string()));
                 continue;
             }
-            auto *loan = o.if_contains("loan");
-            put(std::string(o.at("write").as_string()), o.at("data"),
+            auto *loan = fields.if_contains("loan");
+            put(std::string(fields.at("write").as_string()), fields.at("data"),
                 loan ? loan->to_number<std::uint64_t>() : 0);
         }
         return say(200, {{"ledger", ledger}});
@@ -186,18 +188,19 @@
         return news;
     }
 
-    awaitable<net::response> watch(std::size_t node, std::map<std::string, std::string> q) {
-        auto since = std::stoull(q["since"]);
-        seconds hold{std::stod(q.count("holdMs") ? q["holdMs"] : "0") / 1000};
-        auto until = net::steady_now() + hold;
-        if ((outage || refused[node]) && net::steady_now() >= until)
+    awaitable<net::response> watch(std::size_t node,
+                                   std::map<std::string, std::string> parameters) {
+        auto since = std::stoull(parameters["since"]);
+        seconds hold{std::stod(parameters.count("holdMs") ? parameters["holdMs"] : "0") / 1000};
+        auto hold_end = net::steady_now() + hold;
+        if ((outage || refused[node]) && net::steady_now() >= hold_end)
             co_return say(503, {{"error", "trouble"}});
         for (;;) {
             expire();
             if (!outage && !refused[node]) {
-                auto news = changes_since(since, q["starts"]);
-                if (!news.empty() || net::steady_now() >= until)
-                    co_return say(200, {{"ledger", ledger}, {"news", news}});
+                auto new_changes = changes_since(since, parameters["starts"]);
+                if (!new_changes.empty() || net::steady_now() >= hold_end)
+                    co_return say(200, {{"ledger", ledger}, {"news", new_changes}});
             }
             co_await net::sleep_for(20ms);
         }
@@ -219,7 +222,7 @@
         id, team, shape, cores, awaits);
 }
 
-// Three controllers and their surroundings, however the controllers are run.
+// The settings and surroundings of three controllers, which run in this process or in others.
 struct controllers {
     net::asio::io_context io;
     state_service state{io};
@@ -228,26 +231,26 @@
     explicit controllers(bool types_known = true) {
         if (types_known)
             state.put("c/types", json::parse(machine_types), 0);
-        auto cloud = free_address(); // nobody listens there
-        for (int i = 0; i < 3; ++i) {
-            auto s = test::small_settings();
-            s.node = fmt::format("n{}", i);
-            s.api_address = free_address();
-            s.peer_address = free_address();
-            s.cloud_address = cloud;
-            s.key_value_address = state.open_door(static_cast<std::size_t>(i));
-            conf.push_back(s);
+        auto cloud = free_address(); // no server listens at this address
+        for (int index = 0; index < 3; ++index) {
+            auto local = test::small_settings();
+            local.node = fmt::format("n{}", index);
+            local.api_address = free_address();
+            local.peer_address = free_address();
+            local.cloud_address = cloud;
+            local.key_value_address = state.open_door(static_cast<std::size_t>(index));
+            conf.push_back(local);
         }
-        for (auto &s : conf)
-            for (auto &o : conf)
-                if (o.node != s.node)
-                    s.peers.push_back({o.node, "a", o.peer_address});
+        for (auto &local : conf)
+            for (auto &other : conf)
+                if (other.node != local.node)
+                    local.peers.push_back({other.node, "a", other.peer_address});
     }
     virtual ~controllers() = default;
 
     void close() {
-        for (auto &d : state.doors)
-            d->stop();
+        for (auto &door : state.doors)
+            door->stop();
         io.run_for(100ms);
     }
 
@@ -256,42 +259,43 @@
     net::reply call(std::size_t node, const std::string &method, const std::string &target,
                     const std::string &body) {
         net::client client(io, conf[node].api_address, 1);
-        net::reply out;
+        net::reply answer;
         bool done = false;
-        auto ask = [&]() -> awaitable<void> { // named: a coroutine does not keep its lambda alive
-            out = co_await client.call(method, target, body, 6s);
+        // A variable, because a coroutine does not keep its lambda alive.
+        auto request = [&]() -> awaitable<void> {
+            answer = co_await client.call(method, target, body, 6s);
             done = true;
         };
-        net::spawn(io, ask(), "user");
+        net::spawn(io, request(), "user");
         while (!done)
             io.run_one_for(100ms);
-        return out;
+        return answer;
     }
     int submit(std::size_t node, const std::string &body) {
         return call(node, "POST", "/submissions", body).status;
     }
-    // Status and stage.
+    // Returns the HTTP status, followed by the job's stage if the status is 200.
     std::string poll(std::size_t node, const std::string &id) {
         return shown(call(node, "GET", "/submissions/" + id, ""));
     }
     std::string cancel(std::size_t node, const std::string &id) {
         return shown(call(node, "POST", "/submissions/" + id + "/abort", ""));
     }
-    static std::string shown(const net::reply &r) {
-        if (r.status != 200)
-            return std::to_string(r.status);
-        return "200 " + std::string(json::parse(r.body).at("stage").as_string());
+    static std::string shown(const net::reply &answer) {
+        if (answer.status != 200)
+            return std::to_string(answer.status);
+        return "200 " + std::string(json::parse(answer.body).at("stage").as_string());
     }
-    bool until(const std::function<bool()> &what, seconds time_limit = 30s) {
+    bool until(const std::function<bool()> &condition, seconds time_limit = 30s) {
         auto limit = net::steady_now() + time_limit;
-        while (!what() && net::steady_now() < limit)
+        while (!condition() && net::steady_now() < limit)
             run(100ms);
-        return what();
+        return condition();
     }
     bool ready() {
         return until([&] {
-            for (std::size_t i = 0; i < 3; ++i)
-                if (call(i, "GET", "/ready", "").status != 200)
+            for (std::size_t node = 0; node < 3; ++node)
+                if (call(node, "GET", "/ready", "").status != 200)
                     return false;
             return true;
         });
@@ -302,8 +306,8 @@
     std::vector<std::unique_ptr<control::controller>> nodes;
 
     explicit cluster(bool types_known = true) : controllers(types_known) {
-        for (auto &s : conf) {
-            nodes.push_back(std::make_unique<control::controller>(io, s));
+        for (auto &local : conf) {
+            nodes.push_back(std::make_unique<control::controller>(io, local));
             nodes.back()->start();
         }
     }
@@ -311,13 +315,14 @@
     cluster &operator=(const cluster &) = delete;
     // NOLINTNEXTLINE(bugprone-exception-escape): a throw here may end the test program
     ~cluster() override {
-        for (auto &n : nodes)
-            n->stop();
+        for (auto &node : nodes)
+            node->stop();
         close();
     }
 };
 
-// A worker that heartbeats to whoever answers it, and executes what it is told.
+// A worker that sends heartbeats to the leader, which it finds by trying the nodes in turn, and
+// executes the commands in the answers.
 struct reporting_worker {
     explicit reporting_worker(controllers &around) : c(around) {}
     controllers &c;
@@ -326,39 +331,41 @@
     struct task {
         std::string state = "running", cause;
     };
-    std::map<std::pair<std::string, std::uint64_t>, task> tasks; // by task and attempt
+    std::map<std::pair<std::string, std::uint64_t>, task> tasks; // by task name and attempt
     int answers = 0;
-    std::vector<std::string> started;       // in this order
-    std::vector<std::string> started_twice; // while the task was here in another attempt
+    std::vector<std::string> started; // task names in order of their starts
+    // Tasks that were started while another attempt of them was running.
+    std::vector<std::string> started_twice;
 
-    // One heartbeat; true if it was answered by an entitled node.
+    // Sends one heartbeat. Returns true if a node answered it with a fencing token that is not
+    // older than the newest one seen.
     bool report() {
         json::array threads;
-        for (auto &[t, here] : tasks) {
-            json::object o{{"thread", t.first}, {"try", t.second}, {"stage", here.state}};
-            if (here.state == "exited")
-                o["cause"] = here.cause;
+        for (auto &[key, present] : tasks) {
+            json::object o{{"thread", key.first}, {"try", key.second}, {"stage", present.state}};
+            if (present.state == "exited")
+                o["cause"] = present.cause;
             threads.push_back(o);
         }
         json::object o{{"spindle", "i-000001"}, {"address", "127.0.0.1:1"}, {"frame", "small"},
                        {"croft", "a"},          {"loaners", true},          {"shift", 1},
                        {"tally", ++tally},      {"warrant", warrant},       {"recallS", nullptr},
                        {"threads", threads}};
-        auto r = c.call(node, "POST", "/checkin", json::serialize(o));
-        if (r.status != 200) {
+        auto answer = c.call(node, "POST", "/checkin", json::serialize(o));
+        if (answer.status != 200) {
             node = (node + 1) % 3;
             return false;
         }
-        auto a = json::parse(r.body);
-        auto token = a.at("warrant").to_number<std::uint64_t>();
+        auto body = json::parse(answer.body);
+        auto token = body.at("warrant").to_number<std::uint64_t>();
         if (token < warrant)
             return false;
         warrant = token;
         ++answers;
-        for (auto &v : a.at("orders").as_array()) {
-            auto key = std::make_pair(std::string(v.at("thread").as_string()),
-                                      v.at("try").to_number<std::uint64_t>());
-            auto verb = v.at("verb").as_string();
+        for (auto &command : body.at("orders").as_array()) {
+            auto key = std::make_pair(std::string(command.at("thread").as_string()),
+                                      command.at("try").to_number<std::uint64_t>());
+            auto verb = command.at("verb").as_string();
             if (verb == "start")
                 start(key);
             else if (verb == "kill" && tasks.count(key))
@@ -371,23 +378,23 @@
     void start(const std::pair<std::string, std::uint64_t> &key) {
         if (tasks.count(key))
             return;
-        for (auto &[t, here] : tasks)
-            if (t.first == key.first && here.state == "running")
+        for (auto &[other, present] : tasks)
+            if (other.first == key.first && present.state == "running")
                 started_twice.push_back(key.first);
         started.push_back(key.first);
         tasks[key] = {};
     }
     bool runs(const std::string &job) const {
-        for (auto &[t, here] : tasks)
-            if (t.first == job + "/0" && here.state == "running")
+        for (auto &[key, present] : tasks)
+            if (key.first == job + "/0" && present.state == "running")
                 return true;
         return false;
     }
-    // The running task of the job is done.
+    // Ends the running task of the job as done.
     void finish(const std::string &job) {
-        for (auto &[t, here] : tasks)
-            if (t.first == job + "/0" && here.state == "running")
-                here = {"exited", "done"};
+        for (auto &[key, present] : tasks)
+            if (key.first == job + "/0" && present.state == "running")
+                present = {"exited", "done"};
     }
 };
 
--- a/tests/key_value_stand_in.hpp
+++ b/tests/key_value_stand_in.hpp
@@ -1,5 +1,6 @@
-// A key-value store in memory, by PROTOCOL, in place of the client: it can leave a transaction
-// without an answer and carry it out at once, later or never, refuse, or stand still.
+// An in-memory key-value store that replaces the client of the real one and follows PROTOCOL. A
+// test can make it lose the answer of a transaction and execute the transaction at once, later or
+// never, refuse requests, or delay a transaction before it is sent.
 #pragma once
 #include "store/key_value_client.hpp"
 #include "test_time.hpp"
@@ -11,22 +12,23 @@
 
 class state_stand_in : public store::key_value_client {
   public:
-    state_stand_in(net::asio::io_context &io, const settings::settings &s)
-        : key_value_client(io, s), io_(io) {}
+    state_stand_in(net::asio::io_context &io, const settings::settings &conf)
+        : key_value_client(io, conf), io_(io) {}
 
     enum class fate {
         answered,
-        unanswered, // carried out, but no answer comes
-        held,       // no answer; carried out by release_held()
-        lost,       // no answer, never carried out
+        unanswered, // executed, but the answer is lost
+        held,       // no answer; executed by release_held()
+        lost,       // no answer, never executed
         refused,    // 503
     };
-    std::deque<fate> next_commits; // of the transactions to come; then all are answered
+    std::deque<fate> next_commits; // of the next transactions, in order; later ones are answered
     bool outage = false;
     std::size_t most_value_bytes = std::size_t{64} * 1024,
-                most_ops = 64;                     // of a transaction; beyond: 400
-    std::vector<std::string> refused_as_too_large; // keys, one for each transaction
-    // Called between the decision to send a transaction and its sending.
+                most_ops = 64; // limits of a transaction; the store rejects larger ones with 400
+    // The first key of each transaction that was rejected as too large.
+    std::vector<std::string> refused_as_too_large;
+    // Called after the decision to send a transaction and before it is sent.
     std::function<void()> stand_still;
     std::size_t commits = 0;
 
@@ -35,15 +37,15 @@
         std::uint64_t version = 0, lease = 0;
     };
     std::map<std::string, stored> keys;
-    std::map<std::uint64_t, bool> leases; // live
+    std::map<std::uint64_t, bool> leases; // true while the lease is live
     std::uint64_t revision = 10, lease_count = 0;
 
-    // Transactions without an answer that come through now.
+    // Executes the transactions whose fate was `held`.
     void release_held() {
-        auto list = std::move(held_);
+        auto transactions = std::move(held_);
         held_.clear();
-        for (auto &f : list)
-            f();
+        for (auto &transaction : transactions)
+            transaction();
     }
 
     net::awaitable<store::transaction_result> commit(std::vector<txn_condition> when,
@@ -56,26 +58,26 @@
         if (permitted && !permitted())
             co_return store::transaction_result{store::transaction_outcome::refused, 0, {}, ""};
         ++commits;
-        auto how = fate::answered;
+        auto next_fate = fate::answered;
         if (!next_commits.empty()) {
-            how = next_commits.front();
+            next_fate = next_commits.front();
             next_commits.pop_front();
         }
-        store::transaction_result t;
-        if (outage || how == fate::refused) {
-            t.outcome = store::transaction_outcome::refused;
-            co_return t;
+        store::transaction_result result;
+        if (outage || next_fate == fate::refused) {
+            result.outcome = store::transaction_outcome::refused;
+            co_return result;
         }
-        if (how == fate::held || how == fate::lost) {
-            if (how == fate::held)
+        if (next_fate == fate::held || next_fate == fate::lost) {
+            if (next_fate == fate::held)
                 held_.emplace_back([this, when, ops] { apply(when, ops); });
-            t.outcome = store::transaction_outcome::unknown;
-            co_return t;
+            result.outcome = store::transaction_outcome::unknown;
+            co_return result;
         }
-        t = apply(when, ops);
-        if (how == fate::unanswered)
-            t = {store::transaction_outcome::unknown, 0, {}, ""};
-        co_return t;
+        result = apply(when, ops);
+        if (next_fate == fate::unanswered)
+            result = {store::transaction_outcome::unknown, 0, {}, ""};
+        co_return result;
     }
 
     net::awaitable<std::optional<store::key_lookup>> get(std::string key,
@@ -83,14 +85,14 @@
         co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
-        store::key_lookup i;
-        if (auto k = keys.find(key); k != keys.end()) {
-            i.found = true;
-            i.item = {key, k->second.value, k->second.version, k->second.lease};
+        store::key_lookup result;
+        if (auto found = keys.find(key); found != keys.end()) {
+            result.found = true;
+            result.item = {key, found->second.value, found->second.version, found->second.lease};
         } else {
-            i.revision = revision;
+            result.revision = revision;
         }
-        co_return i;
+        co_return result;
     }
 
     net::awaitable<std::optional<wire::range_answer>> list(std::string prefix,
@@ -98,12 +100,12 @@
         co_await net::sleep_for(1ms);
         if (outage)
             co_return std::nullopt;
-        wire::range_answer a;
-        a.revision = revision;
-        for (auto &[key, k] : keys)
+        wire::range_answer result;
+        result.revision = revision;
+        for (auto &[key, entry] : keys)
             if (key.starts_with(prefix))
-                a.items.push_back({key, k.value, k.version, k.lease});
-        co_return a;
+                result.items.push_back({key, entry.value, entry.version, entry.lease});
+        co_return result;
     }
 
     net::awaitable<store::watch_result> watch(std::string, std::uint64_t since, int,
@@ -111,10 +113,10 @@
         co_await net::sleep_for(20ms);
         if (outage)
             co_return store::watch_result{};
-        store::watch_result a;
-        a.outcome = store::watch_outcome::changes;
-        a.changes.revision = since;
-        co_return a;
+        store::watch_result result;
+        result.outcome = store::watch_outcome::changes;
+        result.changes.revision = since;
+        co_return result;
     }
 
     net::awaitable<std::optional<std::uint64_t>> create_lease(seconds) override {
@@ -139,45 +141,45 @@
 
     void expire(std::uint64_t lease) {
         leases[lease] = false;
-        std::erase_if(keys, [&](auto &k) { return k.second.lease == lease && lease != 0; });
+        std::erase_if(keys, [&](auto &entry) { return entry.second.lease == lease && lease != 0; });
     }
 
     store::transaction_result apply(const std::vector<txn_condition> &when,
                                     const std::vector<txn_op> &ops) {
-        store::transaction_result t;
-        for (auto &c : when) {
-            auto k = keys.find(c.key);
-            if ((k == keys.end() ? 0 : k->second.version) != c.revision)
-                t.failed.push_back(c.key);
+        store::transaction_result result;
+        for (auto &condition : when) {
+            auto found = keys.find(condition.key);
+            if ((found == keys.end() ? 0 : found->second.version) != condition.revision)
+                result.failed.push_back(condition.key);
         }
-        if (!t.failed.empty()) {
-            t.outcome = store::transaction_outcome::conflict;
-            t.revision = revision;
-            return t;
+        if (!result.failed.empty()) {
+            result.outcome = store::transaction_outcome::conflict;
+            result.revision = revision;
+            return result;
         }
-        for (auto &o : ops)
-            if (o.lease && !leases[o.lease]) {
-                t.outcome = store::transaction_outcome::rejected;
-                t.error = "no such lease";
-                return t;
+        for (auto &operation : ops)
+            if (operation.lease && !leases[operation.lease]) {
+                result.outcome = store::transaction_outcome::rejected;
+                result.error = "no such lease";
+                return result;
             }
         bool fits = ops.size() <= most_ops;
-        for (auto &o : ops)
-            fits = fits && o.value.size() <= most_value_bytes;
+        for (auto &operation : ops)
+            fits = fits && operation.value.size() <= most_value_bytes;
         if (!fits) {
             refused_as_too_large.push_back(ops.front().key);
-            t.outcome = store::transaction_outcome::rejected;
-            t.error = "too large";
-            return t;
+            result.outcome = store::transaction_outcome::rejected;
+            result.error = "too large";
+            return result;
         }
-        t.outcome = store::transaction_outcome::committed;
-        t.revision = ++revision;
-        for (auto &o : ops)
-            if (o.value.empty())
-                keys.erase(o.key);
+        result.outcome = store::transaction_outcome::committed;
+        result.revision = ++revision;
+        for (auto &operation : ops)
+            if (operation.value.empty())
+                keys.erase(operation.key);
             else
-                keys[o.key] = {o.value, revision, o.lease};
-        return t;
+                keys[operation.key] = {operation.value, revision, operation.lease};
+        return result;
     }
 
   private:
