--- a/tests/cluster_stand_ins.hpp
+++ b/tests/cluster_stand_ins.hpp
@@ -342,16 +342,18 @@
     bool report() {
         json::array threads;
         for (auto &[key, present] : tasks) {
-            json::object o{{"thread", key.first}, {"try", key.second}, {"stage", present.state}};
+            json::object entry{
+                {"thread", key.first}, {"try", key.second}, {"stage", present.state}};
             if (present.state == "exited")
-                o["cause"] = present.cause;
-            threads.push_back(o);
+                entry["cause"] = present.cause;
+            threads.push_back(entry);
         }
-        json::object o{{"spindle", "i-000001"}, {"address", "127.0.0.1:1"}, {"frame", "small"},
-                       {"croft", "a"},          {"loaners", true},          {"shift", 1},
-                       {"tally", ++tally},      {"warrant", warrant},       {"recallS", nullptr},
-                       {"threads", threads}};
-        auto answer = c.call(node, "POST", "/checkin", json::serialize(o));
+        json::object checkin{{"spindle", "i-000001"}, {"address", "127.0.0.1:1"},
+                             {"frame", "small"},      {"croft", "a"},
+                             {"loaners", true},       {"shift", 1},
+                             {"tally", ++tally},      {"warrant", warrant},
+                             {"recallS", nullptr},    {"threads", threads}};
+        auto answer = c.call(node, "POST", "/checkin", json::serialize(checkin));
         if (answer.status != 200) {
             node = (node + 1) % 3;
             return false;
--- a/tests/randomized_simulation.hpp
+++ b/tests/randomized_simulation.hpp
@@ -43,8 +43,8 @@
         std::string name, type, zone;
         bool spot = false, alive = true;
         time_point up_at{}, hang_until{};
-        time_point
-            inbound_partition_until{}; // heartbeats arrive, but answers and commands are lost
+        // During an inbound partition heartbeats arrive, but answers and commands are lost.
+        time_point inbound_partition_until{};
         time_point outbound_partition_until{}; // heartbeats are lost, but commands arrive
         std::uint64_t incarnation = 1, sequence = 0, token = 0;
         time_point lease_from{}, next_heartbeat{};
@@ -119,7 +119,7 @@
     bool apply(const transaction &txn);
     void apply_write(const std::shared_ptr<control::scheduler> &leader,
                      const control::durable_write &write);
-    // Repeats the write after a lost answer. An earlier copy of it may have been applied and
+    // Sends the write, or repeats it after a lost answer. An earlier copy may have been applied and
     // changed the versions of the keys; a stored value equal to the written one shows that.
     void complete_write(const std::shared_ptr<control::scheduler> &leader, const transaction &txn);
     bool was_applied(const control::durable_write &write);
@@ -128,8 +128,8 @@
 
     // --- leader ---
     std::shared_ptr<control::scheduler> scheduler; // of the present leader
-    std::map<std::string, std::uint64_t>
-        versions;                     // of the leader's own keys, as last read or written
+    // Versions of the leader's own keys, as last read or written.
+    std::map<std::string, std::uint64_t> versions;
     time_point cancels_known_until{}; // the leader has every cancel confirmed before then
     bool ends_unreadable = false;     // the leader can't read the records of ended predecessors
     bool leader_ignores_dependents = false; // the leader is of the version before dependencies
@@ -198,8 +198,8 @@
     std::vector<std::string> violations;
     std::set<std::string> started; // job/index#attempt of every attempt that ran on a worker
     std::map<task_key, bool> completed;
-    std::map<std::string, time_point>
-        waiting_since; // a machine has capacity and the team's limit allows a start
+    // Since when a machine has capacity for the job and the team's limit allows a start.
+    std::map<std::string, time_point> waiting_since;
     std::map<std::string, int> starts_of_failing_jobs; // by job id
     int starts = 0, leaders = 0, duplicate_heartbeats = 0, delayed_writes = 0,
         cancels_by_notice = 0, cancels_at_task_end = 0;
